--- a/tests/sim/day.cpp
+++ b/tests/sim/day.cpp
@@ -136,7 +136,10 @@
 
 void Day::finish(Node& node, std::uint64_t life) {
   if (!node.up || node.life != life) return;
-  for (Action& action : node.core->take_actions(steady(node))) perform(node, std::move(action));
+  for (Action& action : node.core->take_actions(steady(node))) {
+    if (observer_) observer_(node.host, action);
+    perform(node, std::move(action));
+  }
 }
 
 Micros Day::steady(const Node& node) const {
@@ -608,6 +611,17 @@
       });
 }
 
+void Day::ask_as_operator() {
+  using What = AdminRequest::What;
+  for (auto& node : nodes_) {
+    for (const What what : {What::policy, What::parts, What::machines, What::jobs, What::negotiations})
+      on_node(*node, node->life, [what, request = node->next_request++](Controller& c) {
+        c.on_admin(request, {what, {}});
+      });
+  }
+  after(seconds(17), [this] { ask_as_operator(); });
+}
+
 // ---- troubles ------------------------------------------------------------------------------------
 
 void Day::copy_later(std::function<void()> deliver) {
@@ -879,6 +893,7 @@
     });
   after(millis(100), [this] { machines_step(); });
   after(seconds(9), [this] { ask_about_nothing(); });
+  if (plan_.operators_ask) after(seconds(17), [this] { ask_as_operator(); });
   after(seconds(1), [this] { look_for_neglect(); });
   for (const Strike& planned : plan_.strikes)
     at(planned.at, [this, &planned] { strike(planned.kind, &planned); });
--- a/tests/sim/day.h
+++ b/tests/sim/day.h
@@ -93,15 +93,20 @@
   bool wide = true;
   bool slow_reports = false;  ///< so that a deaf machine is heard before it counts as silent
   bool deaf_for_good = false;
-  bool small_values = false;  ///< the state service takes little at once
-  bool verbose = false;       ///< prints the controllers' logs and the troubles
+  bool small_values = false;   ///< the state service takes little at once
+  bool operators_ask = false;  ///< operators read every page of the administration API now and then
+  bool verbose = false;        ///< prints the controllers' logs and the troubles
 };
 
 Settings settings_of_a_day(const DayPlan& plan = {});
 
 class Day {
  public:
+  /// Called with every action of a controller, right before it is performed.
+  using ActionObserver = std::function<void(const std::string& host, const Action& action)>;
+
   explicit Day(const DayPlan& plan);
+  void observe(ActionObserver observer) { observer_ = std::move(observer); }
   void play();
 
   const Checker& checker() const { return checker_; }
@@ -198,6 +203,7 @@
   void ask_at(Node& node, const Question& question, const Reaction& answer);
   Node& node_for_user();
   void ask_about_nothing();
+  void ask_as_operator();
   void trouble();
   void start(Trouble kind);
   void strike(Trouble kind, const Strike* planned);
@@ -212,6 +218,7 @@
   void make_users();
 
   DayPlan plan_;
+  ActionObserver observer_;
   Settings settings_;
   std::mt19937_64 random_;
   Micros now_{0};
