--- a/lab/laboratory.cpp
+++ b/lab/laboratory.cpp
@@ -28,7 +28,7 @@
       began(loop.now()),
       random(plan.seed),
       settings(make_settings()),
-      history([this] { return now(); }),
+      final_states([this] { return now(); }),
       checker(settings) {}
 
 }  // namespace bendtide::lab
--- a/lab/laboratory.h
+++ b/lab/laboratory.h
@@ -70,7 +70,7 @@
   Micros began{0};
   std::mt19937_64 random;
   Settings settings;
-  History history;
+  History final_states;
   sim::Checker checker;
   std::map<std::string, JobSpec> specs;
   bool closing = false;  ///< all coroutines end
--- a/lab/soak.cpp
+++ b/lab/soak.cpp
@@ -37,7 +37,7 @@
       injector_(lab_, controllers_, state_, workers_, users_) {}
 
 Verdict Soak::run() {
-  lab_.loop.on_error = [this](const std::string& what) { lab_.history.add("laboratory: " + what); };
+  lab_.loop.on_error = [this](const std::string& what) { lab_.final_states.add("laboratory: " + what); };
   state_.run();
   workers_.run();
   controllers_.run();
@@ -53,7 +53,7 @@
 io::Task<> Soak::stop_at_the_end() {
   const Micros end = lab_.plan.faults_for + lab_.plan.settle_for;
   bool calm = false;
-  while (lab_.now() < end && !is_over()) {
+  while (lab_.now() < end && !has_ended()) {
     lab_.checker.look(lab_.now());
     if (!calm && lab_.now() >= lab_.plan.faults_for) {
       calm = true;
@@ -67,7 +67,7 @@
 }
 
 /// All work is done; or the planted fault has been seen, which else needs all of the time.
-bool Soak::is_over() const {
+bool Soak::has_ended() const {
   if (!lab_.plan.expected_rule.empty()) return lab_.checker.broken().contains(lab_.plan.expected_rule);
   return lab_.now() >= lab_.plan.faults_for && users_.unfinished().empty();
 }
--- a/lab/soak.h
+++ b/lab/soak.h
@@ -28,13 +28,13 @@
   Verdict run();
   /// What happened to the jobs of broken rules, or to `subject`.
   void print_history(std::ostream& out, const std::string& subject) const {
-    lab_.history.print(out, subject);
+    lab_.final_states.print(out, subject);
   }
 
  private:
   io::Task<> stop_at_the_end();
   io::Task<> read_metrics(int controller);
-  bool is_over() const;
+  bool has_ended() const;
   void judge(Verdict& verdict);
 
   Laboratory lab_;
--- a/src/app/daemon.cpp
+++ b/src/app/daemon.cpp
@@ -343,12 +343,12 @@
     What what;
   };
   static constexpr Row rows[] = {{"/admin/settings", What::policy},
-                                 {"/admin/parts", What::parts},
+                                 {"/admin/parts", What::shards},
                                  {"/admin/machines", What::machines},
                                  {"/admin/jobs", What::jobs},
                                  {"/admin/negotiations", What::negotiations}};
   if (request.target == "/admin/metrics" && request.method == "GET") {
-    metrics_.set_core(core_.invariants(), core_.cluster().answers_not_acted_on);
+    metrics_.set_core(core_.invariants(), core_.state().answers_not_acted_on);
     co_return Reply{200, metrics_.text(), 0, "text/plain; version=0.0.4"};
   }
   for (const Row& row : rows) {
--- a/src/codec/codec.cpp
+++ b/src/codec/codec.cpp
@@ -177,27 +177,28 @@
 template <class A, class M>
 requires std::is_same_v<std::remove_const_t<M>, Call>
 void describe(A& a, M& m) {
-  a.fields(m.id, m.round, m.from_part, m.job, m.team, m.tasks, m.each, m.types, m.zone, m.spot, m.image,
+  a.fields(m.id, m.round, m.from_shard, m.job, m.team, m.tasks, m.each, m.types, m.zone, m.spot, m.image,
            m.spare, m.disclosed);
   a.field(m.priority, Priority::production), a.field(m.deadline_in);
 }
 template <class A, class M>
 requires std::is_same_v<std::remove_const_t<M>, Proposal>
 void describe(A& a, M& m) {
-  a.fields(m.id, m.round, m.part, m.tasks, m.start_delay, m.load_permille, m.room_stamp, m.free_share);
+  a.fields(m.id, m.round, m.shard, m.tasks, m.start_delay, m.load_permille, m.room_stamp, m.free_share);
 }
 template <class A, class M>
 requires std::is_same_v<std::remove_const_t<M>, Awarded> ||
-    std::is_same_v<std::remove_const_t<M>, HandBack> || std::is_same_v<std::remove_const_t<M>, Progress>
-void describe(A& a, M& m) { a.field(m.part); }
+    std::is_same_v<std::remove_const_t<M>, FailbackRequest> ||
+    std::is_same_v<std::remove_const_t<M>, Progress>
+void describe(A& a, M& m) { a.field(m.shard); }
 template <class A, class M>
-requires std::is_same_v<std::remove_const_t<M>, Wellbeing>
-void describe(A& a, M& m) { a.fields(m.state_answers, m.your_reports); }
+requires std::is_same_v<std::remove_const_t<M>, PeerHealth>
+void describe(A& a, M& m) { a.fields(m.state_answers, m.your_heartbeats); }
 template <class A, class M>
-requires std::is_same_v<std::remove_const_t<M>, Resign>
+requires std::is_same_v<std::remove_const_t<M>, LeaseTransfer>
 void describe(A& a, M& m) {
-  a.fields(m.part, m.token, m.asked_for);
-  a.list(m.silent, [](auto& b, auto& s) {
+  a.fields(m.shard, m.fencing_token, m.asked_for);
+  a.list(m.unreachable, [](auto& b, auto& s) {
     b.fields(s.machine, s.heard_ago, s.answered_ago);
     b.list(s.tasks, [](auto& c, auto& t) {
       c.fields(t.task.job, t.task.index, t.attempt), c.field(t.phase, TaskPhase::exited);
--- a/src/core/calls.h
+++ b/src/core/calls.h
@@ -96,7 +96,7 @@
 struct OrdersRequest {
   std::string address;
   std::uint64_t session = 0;
-  std::uint64_t token = 0;
+  std::uint64_t fencing_token = 0;
   std::vector<Order> orders;
 };
 
@@ -108,7 +108,7 @@
 
 struct ReportReply {
   int status = 503;
-  std::uint64_t token = 0;
+  std::uint64_t fencing_token = 0;
   std::vector<Order> orders;
   std::string redirect;  ///< host of another controller, with 421
 };
@@ -126,7 +126,7 @@
 
 // ---- operators -----------------------------------------------------------------------------------
 struct AdminRequest {
-  enum class What : std::uint8_t { policy, change_policy, parts, machines, jobs, negotiations };
+  enum class What : std::uint8_t { policy, change_policy, shards, machines, jobs, negotiations };
   What what = What::policy;
   Value body;  ///< of a change
 };
@@ -152,7 +152,7 @@
 struct Call {
   std::uint64_t id = 0;
   std::uint32_t round = 1;
-  std::string from_part;
+  std::string from_shard;
   std::string job;
   std::string team;
   std::uint32_t tasks = 0;
@@ -169,7 +169,7 @@
 struct Proposal {
   std::uint64_t id = 0;
   std::uint32_t round = 1;
-  std::string part;
+  std::string shard;
   std::uint32_t tasks = 0;  ///< 0: refusal
   Micros start_delay{0};
   std::uint32_t load_permille = 0;
@@ -178,7 +178,7 @@
 };
 /// Hints: the receiver reads the state service afresh, and believes nothing else.
 struct Awarded {
-  std::string part;
+  std::string shard;
 };
 /// The last write of a job is made: nothing of it may run, wherever it was awarded to. Said to every
 /// controller, as parts change hands. This alone is acted on without a read: it can only stop what is over.
@@ -186,30 +186,30 @@
   std::string job;
 };
 struct Progress {
-  std::string part;  ///< the part that owns the jobs
+  std::string shard;  ///< the part that owns the jobs
 };
-struct HandBack {
-  std::string part;
+struct FailbackRequest {
+  std::string shard;
 };
 /// Said to every controller now and then: whether the state service answers the sender, and how many reports
 /// it got lately from machines that the receiver holds.
-struct Wellbeing {
+struct PeerHealth {
   bool state_answers = false;
-  std::uint32_t your_reports = 0;
+  std::uint32_t your_heartbeats = 0;
 };
 /// What may be on a machine that is silent, as far as the sender knows.
-struct SilentMachine {
+struct UnreachableMachine {
   std::string machine;
   Micros heard_ago{0};
   Micros answered_ago{0};
   std::vector<ReportedTask> tasks;
 };
 /// The sender has let go of a part: the receiver may take it, over this very record.
-struct Resign {
-  std::string part;
-  std::uint64_t token = 0;
+struct LeaseTransfer {
+  std::string shard;
+  std::uint64_t fencing_token = 0;
   bool asked_for = false;  ///< by the receiver; else the sender can't serve it
-  std::vector<SilentMachine> silent;
+  std::vector<UnreachableMachine> unreachable;
 };
 /// Asks the holder of `from` to hand unused share of a team's limit to the part `to`.
 struct Lend {
@@ -225,8 +225,8 @@
   std::string zone;
   bool spot = false;
 };
-using PeerMessage = std::variant<JobQuery, JobReply, Call, Proposal, Awarded, Progress, HandBack, Lend,
-                                 Scarce, Wellbeing, Resign, Ended>;
+using PeerMessage = std::variant<JobQuery, JobReply, Call, Proposal, Awarded, Progress, FailbackRequest, Lend,
+                                 Scarce, PeerHealth, LeaseTransfer, Ended>;
 
 // ---- actions -------------------------------------------------------------------------------------
 enum class LogLevel : std::uint8_t { error, info, debug };
--- a/src/core/claims.cpp
+++ b/src/core/claims.cpp
@@ -23,16 +23,16 @@
 }
 
 /// The block that a key names, if it is one of the part.
-std::optional<std::uint32_t> block_of(const std::string& key, const std::string& part) {
+std::optional<std::uint32_t> block_of(const std::string& key, const std::string& shard) {
   const auto pieces = records::split_key(key);
-  if (pieces.size() != 3 || pieces[1] != part) return std::nullopt;
+  if (pieces.size() != 3 || pieces[1] != shard) return std::nullopt;
   return static_cast<std::uint32_t>(std::strtoul(pieces[2].c_str(), nullptr, 10));
 }
 
 }  // namespace
 
-std::string Claims::home_part(const std::string& machine, const std::string& zone) const {
-  const Settings& s = cluster_.context.settings;
+std::string Claims::home_shard(const std::string& machine, const std::string& zone) const {
+  const Settings& s = state_.context.settings;
   std::vector<std::string> near, all{s.host};
   if (s.zone == zone) near.push_back(s.host);
   for (const Peer& peer : s.peers) {
@@ -44,35 +44,35 @@
   return choice[trailing_number(machine) % choice.size()];
 }
 
-void Claims::want(Part& part, Machine machine) {
-  if (part_of_.contains(machine.name) || !wanted_names_.insert(machine.name).second) return;
-  wanted_[part.name].push_back(std::move(machine));
+void Claims::want(Shard& shard, Machine machine) {
+  if (shard_of_.contains(machine.name) || !wanted_names_.insert(machine.name).second) return;
+  wanted_[shard.name].push_back(std::move(machine));
 }
 
-void Claims::came_up(Part& part, const Machine& machine) {
-  if (auto it = part.claim_blocks.find(machine.claim_block); it != part.claim_blocks.end())
+void Claims::came_up(Shard& shard, const Machine& machine) {
+  if (auto it = shard.claim_blocks.find(machine.claim_block); it != shard.claim_blocks.end())
     it->second.urgent = true;
 }
 
-void Claims::forget(Part& part, const Machine& machine) {
-  part_of_.erase(machine.name);
-  if (auto it = part.claim_blocks.find(machine.claim_block); it != part.claim_blocks.end())
+void Claims::forget(Shard& shard, const Machine& machine) {
+  shard_of_.erase(machine.name);
+  if (auto it = shard.claim_blocks.find(machine.claim_block); it != shard.claim_blocks.end())
     it->second.dirty = true;
 }
 
-void Claims::on_part_dropped(const std::string& part) {
-  for (const Machine& m : wanted_[part]) wanted_names_.erase(m.name);
-  wanted_.erase(part);
+void Claims::on_shard_lost(const std::string& shard) {
+  for (const Machine& m : wanted_[shard]) wanted_names_.erase(m.name);
+  wanted_.erase(shard);
 }
 
 void Claims::tick() {
-  if (doubted_ && !reading_ && cluster_.now() >= next_reading_) relearn();
-  if (!cluster_.acting()) return;
-  for (auto& [name, part] : cluster_.parts) {
-    if (!part.ready()) continue;
-    if (!writing_ && !doubted_ && !reading_) write_new(part);
-    if (cluster_.now() >= next_urgent_) rewrite(part, true);
-    if (!writing_ && cluster_.now() >= next_rewrite_) rewrite(part, false);
+  if (doubted_ && !reading_ && state_.now() >= next_reading_) relearn();
+  if (!state_.lease_valid()) return;
+  for (auto& [name, shard] : state_.shards) {
+    if (!shard.ready()) continue;
+    if (!writing_ && !doubted_ && !reading_) write_new(shard);
+    if (state_.now() >= next_urgent_) rewrite(shard, true);
+    if (!writing_ && state_.now() >= next_rewrite_) rewrite(shard, false);
   }
 }
 
@@ -82,7 +82,7 @@
 /// then the next write fails.
 void Claims::learn(const std::vector<StateRow>& rows) {
   home_stamps_.clear();
-  part_of_.clear();
+  shard_of_.clear();
   for (const StateRow& row : rows) {
     const auto key = records::split_key(row.key);
     if (key.size() != 3) continue;
@@ -91,63 +91,63 @@
       continue;
     }
     if (auto claims = records::claims(row.value))
-      for (const records::ClaimedMachine& c : *claims) part_of_[c.name] = key[1];
+      for (const records::ClaimedMachine& c : *claims) shard_of_[c.name] = key[1];
   }
   // What was claimed or is gone since, or is not written yet.
-  for (auto& [name, part] : cluster_.parts) {
-    if (!part.ready()) continue;
+  for (auto& [name, shard] : state_.shards) {
+    if (!shard.ready()) continue;
     const std::string& held = name;
-    std::erase_if(part_of_, [&](const auto& claim) { return claim.second == held; });
-    for (const auto& [machine, m] : part.machines) part_of_[machine] = name;
+    std::erase_if(shard_of_, [&](const auto& claim) { return claim.second == held; });
+    for (const auto& [machine, m] : shard.machines) shard_of_[machine] = name;
   }
 }
 
-void Claims::add_block(Part& part, std::uint32_t number, const StateRow& row, bool settled) const {
-  part.claim_blocks[number].stamp = row.stamp;
+void Claims::add_block(Shard& shard, std::uint32_t number, const StateRow& row, bool settled) const {
+  shard.claim_blocks[number].stamp = row.stamp;
   auto claims = records::claims(row.value);
   if (!claims) return;
   for (const records::ClaimedMachine& c : *claims) {
     Machine m = machine_of(c);
     m.claim_block = number;
-    hooks_.claimed(part, m, settled || !m.in_use);
+    hooks_.claimed(shard, m, settled || !m.in_use);
   }
 }
 
-void Claims::load(Part& part, const std::vector<StateRow>& rows) {
+void Claims::load(Shard& shard, const std::vector<StateRow>& rows) {
   learn(rows);
   for (const StateRow& row : rows)
-    if (auto number = block_of(row.key, part.name)) add_block(part, *number, row, false);
+    if (auto number = block_of(row.key, shard.name)) add_block(shard, *number, row, false);
 }
 
 void Claims::relearn() {
   reading_ = true;
   doubted_ = false;
-  next_reading_ = cluster_.now() + kReadEvery;
-  cluster_.store.list(records::kClaimPrefix, [this](const StateAnswer& a) {
+  next_reading_ = state_.now() + kReadEvery;
+  state_.store.list(records::kClaimPrefix, [this](const StateAnswer& a) {
     reading_ = false;
     if (!a.ok()) {
       doubted_ = true;
       return;
     }
     // Blocks of ours that we don't know: a write of ours without answer was made after all.
-    for (auto& [name, part] : cluster_.parts) {
-      if (!part.ready()) continue;
+    for (auto& [name, shard] : state_.shards) {
+      if (!shard.ready()) continue;
       for (const StateRow& row : a.rows) {
         const auto number = block_of(row.key, name);
         if (!number) continue;
-        auto block = part.claim_blocks.find(*number);
-        if (block == part.claim_blocks.end())
-          add_block(part, *number, row, true);
+        auto block = shard.claim_blocks.find(*number);
+        if (block == shard.claim_blocks.end())
+          add_block(shard, *number, row, true);
         else if (std::exchange(block->second.in_doubt, false))
           block->second.stamp = row.stamp;
       }
       // A block in doubt that is not there is no more: its removal was made.
-      std::erase_if(part.claim_blocks, [](const auto& b) { return b.second.in_doubt; });
+      std::erase_if(shard.claim_blocks, [](const auto& b) { return b.second.in_doubt; });
     }
     learn(a.rows);
-    for (auto& [part, machines] : wanted_)
+    for (auto& [shard, machines] : wanted_)
       std::erase_if(machines, [&](const Machine& m) {
-        return part_of_.contains(m.name) && wanted_names_.erase(m.name) > 0;
+        return shard_of_.contains(m.name) && wanted_names_.erase(m.name) > 0;
       });
     hooks_.learned();
   });
@@ -155,10 +155,10 @@
 
 // ---- writing ---------------------------------------------------------------------------------------
 
-void Claims::write_new(Part& part) {
-  auto wanted = wanted_.find(part.name);
+void Claims::write_new(Shard& shard) {
+  auto wanted = wanted_.find(shard.name);
   if (wanted == wanted_.end() || wanted->second.empty()) return;
-  const Settings& s = cluster_.context.settings;
+  const Settings& s = state_.context.settings;
   std::vector<Machine> batch;
   std::vector<records::ClaimedMachine> value;
   std::set<std::string> homes;
@@ -166,78 +166,78 @@
   while (!wanted->second.empty()) {
     Machine& m = wanted->second.front();
     bytes += records::claim_bytes(record_of(m));
-    homes.insert(home_part(m.name, m.zone));
+    homes.insert(home_shard(m.name, m.zone));
     if (!batch.empty() && bytes > s.state_value_bytes * 9 / 10) break;
     value.push_back(record_of(m));
     batch.push_back(std::move(m));
     wanted->second.pop_front();
   }
-  const std::uint32_t block = part.claim_blocks.empty() ? 0 : part.claim_blocks.rbegin()->first + 1;
+  const std::uint32_t block = shard.claim_blocks.empty() ? 0 : shard.claim_blocks.rbegin()->first + 1;
   StateCommit txn;
-  txn.conditions = {cluster_.holds(part), {records::claim_key(part.name, block), 0}};
-  txn.writes = {{records::claim_key(part.name, block), records::to_json(value), 0}};
+  txn.conditions = {state_.fenced_by(shard), {records::claim_key(shard.name, block), 0}};
+  txn.writes = {{records::claim_key(shard.name, block), records::to_json(value), 0}};
   for (const std::string& home : homes) {
     txn.conditions.push_back({records::home_key(home), home_stamps_[home]});
-    txn.writes.push_back({records::home_key(home), Value(part.name), 0});
+    txn.writes.push_back({records::home_key(home), Value(shard.name), 0});
   }
   writing_ = true;
-  cluster_.store.commit(std::move(txn), [this, name = part.name, generation = part.generation, block, homes,
-                                         batch = std::move(batch)](const StateAnswer& a) mutable {
+  state_.store.commit(std::move(txn), [this, name = shard.name, leadership_term = shard.leadership_term,
+                                       block, homes, batch = std::move(batch)](const StateAnswer& a) mutable {
     writing_ = false;
-    on_written(name, generation, block, std::move(batch), homes, a);
+    on_written(name, leadership_term, block, std::move(batch), homes, a);
   });
 }
 
-void Claims::on_written(const std::string& name, std::uint64_t generation, std::uint32_t block,
+void Claims::on_written(const std::string& name, std::uint64_t leadership_term, std::uint32_t block,
                         std::vector<Machine> batch, const std::set<std::string>& homes,
                         const StateAnswer& a) {
-  Part* part = cluster_.known(name, generation);
+  Shard* shard = state_.shard_in_term(name, leadership_term);
   if (a.ok()) {
     for (const std::string& home : homes) home_stamps_[home] = a.revision;
     for (Machine& m : batch) {
       wanted_names_.erase(m.name);
-      part_of_[m.name] = name;
+      shard_of_[m.name] = name;
       m.claim_block = block;
       // Nobody used these machines before they were claimed: nothing unknown can be on them.
-      if (part != nullptr) hooks_.claimed(*part, m, true);
+      if (shard != nullptr) hooks_.claimed(*shard, m, true);
     }
-    if (part != nullptr) part->claim_blocks[block].stamp = a.revision;
+    if (shard != nullptr) shard->claim_blocks[block].stamp = a.revision;
     hooks_.learned();
     return;
   }
-  if (a.outcome == Outcome::conflict) hooks_.doubt_holdings();
+  if (a.outcome == Outcome::conflict) hooks_.invalidate_leases();
   // Somebody claimed meanwhile, or our own write was made without an answer: read, then try again.
   if (a.outcome != Outcome::refused) doubt();
   for (Machine& m : batch) {
-    if (part != nullptr)
+    if (shard != nullptr)
       wanted_[name].push_back(std::move(m));
     else
       wanted_names_.erase(m.name);
   }
 }
 
-std::vector<records::ClaimedMachine> Claims::machines_of(const Part& part, std::uint32_t block) const {
+std::vector<records::ClaimedMachine> Claims::machines_of(const Shard& shard, std::uint32_t block) const {
   std::vector<records::ClaimedMachine> out;
-  for (const auto& [name, m] : part.machines)
+  for (const auto& [name, m] : shard.machines)
     if (m.claim_block == block) out.push_back(record_of(m));
   return out;
 }
 
 /// Blocks whose machines came up, or are gone in part, are written anew, or removed.
-void Claims::rewrite(Part& part, bool urgent_only) {
+void Claims::rewrite(Shard& shard, bool urgent_only) {
   struct Written {
     std::uint32_t block;
     bool removed;
     std::vector<std::string> up;  ///< machines whose address it names
   };
   StateCommit txn;
-  txn.conditions = {cluster_.holds(part)};
+  txn.conditions = {state_.fenced_by(shard)};
   std::vector<Written> written;
-  for (auto& [number, block] : part.claim_blocks) {
+  for (auto& [number, block] : shard.claim_blocks) {
     if (!(block.urgent || (block.dirty && !urgent_only)) || block.writing || block.in_doubt) continue;
     if (written.size() >= kBlocksPerWrite) break;
-    const std::vector<records::ClaimedMachine> left = machines_of(part, number);
-    const std::string key = records::claim_key(part.name, number);
+    const std::vector<records::ClaimedMachine> left = machines_of(shard, number);
+    const std::string key = records::claim_key(shard.name, number);
     txn.conditions.push_back({key, block.stamp});
     txn.writes.push_back({key, left.empty() ? std::nullopt : std::optional(records::to_json(left)), 0});
     Written& w = written.emplace_back(Written{number, left.empty(), {}});
@@ -247,12 +247,11 @@
     block.writing = true;
   }
   if (written.empty()) return;
-  (urgent_only ? next_urgent_ : next_rewrite_) =
-      cluster_.now() + (urgent_only ? kUrgentEvery : kRewriteEvery);
-  cluster_.store.commit(
+  (urgent_only ? next_urgent_ : next_rewrite_) = state_.now() + (urgent_only ? kUrgentEvery : kRewriteEvery);
+  state_.store.commit(
       std::move(txn),
-      [this, name = part.name, generation = part.generation, written](const StateAnswer& a) {
-        Part* p = cluster_.known(name, generation);
+      [this, name = shard.name, leadership_term = shard.leadership_term, written](const StateAnswer& a) {
+        Shard* p = state_.shard_in_term(name, leadership_term);
         if (p == nullptr) return;
         for (const Written& w : written) {
           ClaimBlock& block = p->claim_blocks[w.block];
--- a/src/core/claims.h
+++ b/src/core/claims.h
@@ -2,7 +2,7 @@
 // is never claimed twice.
 //
 // Claims are kept in blocks, several machines in one record. What keeps two parts from claiming one machine
-// is the record of its home part (home_part): every claim of a machine rewrites it, on condition that nobody
+// is the record of its home part (home_shard): every claim of a machine rewrites it, on condition that nobody
 // did since the claims were last read. So the claims of the machines of one home are made one after the
 // other, each in the knowledge of all before it.
 //
@@ -21,47 +21,47 @@
  public:
   struct Hooks {
     /// A machine is claimed. Settled: nobody can have used it before.
-    std::function<void(Part&, const Machine&, bool settled)> claimed;
+    std::function<void(Shard&, const Machine&, bool settled)> claimed;
     std::function<void()> learned;  ///< the claims have been read
-    std::function<void()> doubt_holdings;
+    std::function<void()> invalidate_leases;
   };
-  Claims(Cluster& cluster, Hooks hooks) : cluster_(cluster), hooks_(std::move(hooks)) {}
+  Claims(ControllerState& state, Hooks hooks) : state_(state), hooks_(std::move(hooks)) {}
 
   /// Writes what is to be written.
   void tick();
   /// A machine that nobody is known to have claimed: it is claimed for `part` with one of the next writes.
-  void want(Part& part, Machine machine);
+  void want(Shard& shard, Machine machine);
   /// A machine of a part is up: its claim is to name its address.
-  void came_up(Part& part, const Machine& machine);
+  void came_up(Shard& shard, const Machine& machine);
   /// A machine of a part is gone.
-  void forget(Part& part, const Machine& machine);
+  void forget(Shard& shard, const Machine& machine);
   /// Reads all claims once more, before long.
   void doubt() { doubted_ = true; }
   /// All claims, as read for a part that is being loaded: its machines are added, not settled.
-  void load(Part& part, const std::vector<StateRow>& rows);
-  void on_part_dropped(const std::string& part);
+  void load(Shard& shard, const std::vector<StateRow>& rows);
+  void on_shard_lost(const std::string& shard);
 
-  const std::string* part_of(const std::string& machine) const {
-    auto it = part_of_.find(machine);
-    return it == part_of_.end() ? nullptr : &it->second;
+  const std::string* shard_of(const std::string& machine) const {
+    auto it = shard_of_.find(machine);
+    return it == shard_of_.end() ? nullptr : &it->second;
   }
   /// The part that takes a machine which nobody claimed: its zone's controllers come first.
-  std::string home_part(const std::string& machine, const std::string& zone) const;
+  std::string home_shard(const std::string& machine, const std::string& zone) const;
 
  private:
   void learn(const std::vector<StateRow>& rows);
-  void add_block(Part& part, std::uint32_t number, const StateRow& row, bool settled) const;
+  void add_block(Shard& shard, std::uint32_t number, const StateRow& row, bool settled) const;
   void relearn();
-  void write_new(Part& part);
-  void on_written(const std::string& part, std::uint64_t generation, std::uint32_t block,
+  void write_new(Shard& shard);
+  void on_written(const std::string& shard, std::uint64_t leadership_term, std::uint32_t block,
                   std::vector<Machine> batch, const std::set<std::string>& homes, const StateAnswer& a);
-  void rewrite(Part& part, bool urgent_only);
-  std::vector<records::ClaimedMachine> machines_of(const Part& part, std::uint32_t block) const;
+  void rewrite(Shard& shard, bool urgent_only);
+  std::vector<records::ClaimedMachine> machines_of(const Shard& shard, std::uint32_t block) const;
 
-  Cluster& cluster_;
+  ControllerState& state_;
   Hooks hooks_;
-  std::map<std::string, std::string> part_of_;         ///< machine -> part
-  std::map<std::string, std::uint64_t> home_stamps_;   ///< as of the reading that part_of_ is from
+  std::map<std::string, std::string> shard_of_;        ///< machine -> part
+  std::map<std::string, std::uint64_t> home_stamps_;   ///< as of the reading that shard_of_ is from
   std::map<std::string, std::deque<Machine>> wanted_;  ///< by part
   std::set<std::string> wanted_names_;
   bool writing_ = false;
--- a/src/core/cluster.h
+++ b/src/core/cluster.h
@@ -9,7 +9,7 @@
 namespace bendtide {
 
 /// Who holds a part, as last read.
-struct Route {
+struct ShardRoute {
   std::string host;
   std::string incarnation;
   std::uint64_t stamp = 0;
@@ -31,51 +31,52 @@
   uncertain  ///< the job may have ended without our knowledge: ask again
 };
 
-struct Cluster {
+struct ControllerState {
   Context& context;
   Store store;
   std::vector<MachineType> catalogue;
-  std::map<std::string, Part> parts;    ///< held by this controller
-  std::map<std::string, Route> routes;  ///< of all parts
+  std::map<std::string, Shard> shards;       ///< held by this controller
+  std::map<std::string, ShardRoute> routes;  ///< of all parts
   std::map<std::string, PeerState> peers;
-  std::map<std::string, std::uint32_t> passed_on;  ///< reports sent on to each host, since they were told
-  Micros valid_until{0};                           ///< the end of our term on our own clock
-  JobHistory history;
+  std::map<std::string, std::uint32_t>
+      redirected_heartbeats;    ///< reports sent on to each host, since they were told
+  Micros lease_valid_until{0};  ///< the end of our term on our own clock
+  FinalStates final_states;
   std::uint64_t answers_not_acted_on = 0;  ///< since what they show was outlived or uncertain
 
-  explicit Cluster(Context& c) : context(c), store(c) {}
+  explicit ControllerState(Context& c) : context(c), store(c) {}
 
   Micros now() const { return context.now; }
-  bool acting() const { return context.now < valid_until; }
+  bool lease_valid() const { return context.now < lease_valid_until; }
   const std::string& self() const { return context.settings.host; }
 
-  Part* held(const std::string& name) {
-    auto it = parts.find(name);
-    return it == parts.end() || !acting() ? nullptr : &it->second;
+  Shard* held_shard(const std::string& name) {
+    auto it = shards.find(name);
+    return it == shards.end() || !lease_valid() ? nullptr : &it->second;
   }
-  Part* ready(const std::string& name) {
-    Part* p = held(name);
+  Shard* ready_shard(const std::string& name) {
+    Shard* p = held_shard(name);
     return p != nullptr && p->ready() ? p : nullptr;
   }
   /// For answers that come later: the same holding still, acting at present or not, or none.
-  Part* known(const std::string& name, std::uint64_t generation) {
-    auto it = parts.find(name);
-    return it == parts.end() || it->second.generation != generation ? nullptr : &it->second;
+  Shard* shard_in_term(const std::string& name, std::uint64_t leadership_term) {
+    auto it = shards.find(name);
+    return it == shards.end() || it->second.leadership_term != leadership_term ? nullptr : &it->second;
   }
-  const MachineType* type(const std::string& name) const {
+  const MachineType* machine_type(const std::string& name) const {
     for (const MachineType& t : catalogue)
       if (t.name == name) return &t;
     return nullptr;
   }
   /// How long a machine takes to fetch the job's image, alone.
-  Micros fetch_time(const JobSpec& spec, const std::string& machine_type) const {
-    const MachineType* t = type(machine_type);
+  Micros fetch_time(const JobSpec& spec, const std::string& type_name) const {
+    const MachineType* t = this->machine_type(type_name);
     return t == nullptr || t->fetch_gb_per_s <= 0 ? Micros{0} : seconds(spec.image_gb / t->fetch_gb_per_s);
   }
   /// The host that holds a part, or its own host if that is not known.
-  std::string holder(const std::string& part) const {
-    auto it = routes.find(part);
-    return it == routes.end() || it->second.host.empty() ? part : it->second.host;
+  std::string leader_of(const std::string& shard) const {
+    auto it = routes.find(shard);
+    return it == routes.end() || it->second.host.empty() ? shard : it->second.host;
   }
   /// Whether a peer has said anything lately.
   bool reachable(const std::string& host) const {
@@ -89,18 +90,18 @@
   /// written by a request of ours that was made at `asked`. Every path that loads a job asks it. Only the
   /// holder ends the jobs of its part, so that ends of this holding are in the history; an earlier holder may
   /// have ended the job after `asked` if that is before the part was taken.
-  Validity validity(const Part& part, const std::string& job, Micros asked) const {
-    if (history.is_over(job)) return Validity::outlived;
-    const bool knows_all_ends = asked >= part.taken_at && history.remembers_since(asked);
+  Validity validity(const Shard& shard, const std::string& job, Micros asked) const {
+    if (final_states.has_ended(job)) return Validity::outlived;
+    const bool knows_all_ends = asked >= shard.acquired_at && final_states.remembers_since(asked);
     return knows_all_ends ? Validity::current : Validity::uncertain;
   }
   /// The same, counted if the answer is not to be acted on.
-  bool may_act_on(const Part& part, const std::string& job, Micros asked) {
-    const Validity value = validity(part, job, asked);
+  bool may_act_on(const Shard& shard, const std::string& job, Micros asked) {
+    const Validity value = validity(shard, job, asked);
     if (value == Validity::current) return true;
     ++answers_not_acted_on;
     context.debug([&] {
-      return job + ": an answer to what part " + part.name + " asked " +
+      return job + ": an answer to what part " + shard.name + " asked " +
              std::to_string((now() - asked).count() / 1000) + " ms ago is not acted on, as " +
              (value == Validity::outlived ? "the job is over" : "it may have ended meanwhile");
     });
@@ -110,20 +111,20 @@
   /// A job is over, as was written, read or said by a peer (then it is not known how): nothing of it goes on
   /// in any part held here, its own or one that it was awarded to. False if it is known to have ended
   /// otherwise.
-  bool learn_end(const std::string& job, const std::optional<FinalState>& state) {
+  bool record_job_end(const std::string& job, const std::optional<FinalState>& state) {
     bool agrees = true;
     if (state)
-      agrees = history.learn_final(job, *state, now());
+      agrees = final_states.record_final(job, *state, now());
     else
-      history.learn_over(job, now());
-    for (auto& [name, part] : parts) {
-      const auto found = part.jobs.find(job);
-      if (found != part.jobs.end()) part.end(found->second);
+      final_states.record_ended(job, now());
+    for (auto& [name, shard] : shards) {
+      const auto found = shard.jobs.find(job);
+      if (found != shard.jobs.end()) shard.end(found->second);
     }
     return agrees;
   }
 
-  Condition holds(const Part& p) const { return {records::hold_key(p.name), p.token}; }
+  Condition fenced_by(const Shard& p) const { return {records::lease_key(p.name), p.fencing_token}; }
 };
 
 }  // namespace bendtide
--- a/src/core/contract.cpp
+++ b/src/core/contract.cpp
@@ -26,50 +26,50 @@
 
 }  // namespace
 
-ContractNet::ContractNet(Cluster& cluster, Scheduler& scheduler, Hooks hooks)
-    : cluster_(cluster),
+ContractNet::ContractNet(ControllerState& state, Scheduler& scheduler, Hooks hooks)
+    : state_(state),
       scheduler_(scheduler),
       hooks_(std::move(hooks)),
       // A proposal for a call of an earlier process of this host must not pass for one to ours.
-      next_id_(cluster.context.random() >> 8) {}
+      next_id_(state.context.random() >> 8) {}
 
-void ContractNet::send(const std::string& part, PeerMessage message) {
-  cluster_.context.act(PeerSend{cluster_.holder(part), std::move(message)});
+void ContractNet::send(const std::string& shard, PeerMessage message) {
+  state_.context.act(PeerSend{state_.leader_of(shard), std::move(message)});
 }
 
 void ContractNet::tick() {
-  const Micros now = cluster_.now();
+  const Micros now = state_.now();
   std::vector<std::uint64_t> due;
   for (auto& [id, n] : open_)
     if (now >= n.until) due.push_back(id);
   for (std::uint64_t id : due) decide(id);
-  if (!cluster_.acting()) return;
-  for (auto& [name, part] : cluster_.parts) {
-    if (!part.ready()) continue;
-    if (part.room_stale && !part.room_busy) read_room(part);
-    if (now >= part.next_awards) read_awards(part);
-    const bool awarded = std::any_of(part.jobs.begin(), part.jobs.end(), [](const auto& j) {
+  if (!state_.lease_valid()) return;
+  for (auto& [name, shard] : state_.shards) {
+    if (!shard.ready()) continue;
+    if (shard.room_stale && !shard.room_busy) read_room(shard);
+    if (now >= shard.next_awards) read_awards(shard);
+    const bool awarded = std::any_of(shard.jobs.begin(), shard.jobs.end(), [](const auto& j) {
       return !j.second.awards.empty() && j.second.owner.empty();
     });
-    if (awarded && now >= part.next_progress) read_progress(part);
-    if (now >= part.awards_good_until)
-      for (auto& [machine, m] : part.machines) stop_doubtful(part, m);
+    if (awarded && now >= shard.next_progress) read_progress(shard);
+    if (now >= shard.awards_good_until)
+      for (auto& [machine, m] : shard.machines) stop_doubtful(shard, m);
     else
-      start_calls(part);
+      start_calls(shard);
   }
 }
 
-void ContractNet::stop_doubtful(Part& part, Machine& m) {
-  if (cluster_.now() < part.awards_good_until) return;
+void ContractNet::stop_doubtful(Shard& shard, Machine& m) {
+  if (state_.now() < shard.awards_good_until) return;
   for (auto& [id, p] : m.tasks) {
-    auto it = part.jobs.find(id.task.job);
-    if (!p.wanted || it == part.jobs.end() || !part.in_doubt(it->second, cluster_.now())) continue;
-    part.change(m, id, p, [](Placement& q) { q.wanted = false; });
-    cluster_.context.debug([&m, task = id.task] {
+    auto it = shard.jobs.find(id.task.job);
+    if (!p.wanted || it == shard.jobs.end() || !shard.in_doubt(it->second, state_.now())) continue;
+    shard.change(m, id, p, [](Placement& q) { q.wanted = false; });
+    state_.context.debug([&m, task = id.task] {
       return task.job + "/" + std::to_string(task.index) + " is not wanted on " + m.name +
              " any more: its award was last read too long ago";
     });
-    part.push_to(m);
+    shard.push_to(m);
   }
 }
 
@@ -77,19 +77,19 @@
 /// write of a job removes all its awards at once.
 bool ContractNet::may_be_awarded(const Job& job) const {
   return job.owner.empty() && !job.spec.needs_one_decider() &&
-         job.awards.size() + 3 <= cluster_.context.settings.state_transaction_writes;
+         job.awards.size() + 3 <= state_.context.settings.state_transaction_writes;
 }
 
 // ---- the initiator -------------------------------------------------------------------------------
 
-void ContractNet::start_calls(Part& part) {
-  const Micros now = cluster_.now();
-  if (cluster_.store.busy()) return;
+void ContractNet::start_calls(Shard& shard) {
+  const Micros now = state_.now();
+  if (state_.store.busy()) return;
   // Those that have waited longest for their turn call first, and of these those that are served first; a few
   // at a time, as every call costs each peer a look. In the queue's order alone, the first few jobs would
   // call again and again, and no machine would ever be rented for the others.
   std::vector<Job*> due;
-  for (const Ranked& ranked : part.queue)
+  for (const Ranked& ranked : shard.queue)
     if (ranked.job->overflow > 0 && now >= ranked.job->next_call && ranked.job->offered == 0)
       due.push_back(ranked.job);
   std::stable_sort(due.begin(), due.end(),
@@ -104,13 +104,13 @@
       job.refused = true;
       continue;
     }
-    job.next_call = now + seconds(cluster_.context.policy.call_again_s);
+    job.next_call = now + seconds(state_.context.policy.call_again_s);
     Negotiation n;
-    n.part = part.name;
-    n.generation = part.generation;
+    n.shard = shard.name;
+    n.leadership_term = shard.leadership_term;
     Call& c = n.call;
     c.id = next_id_++;
-    c.from_part = part.name;
+    c.from_shard = shard.name;
     c.job = id;
     c.team = job.spec.team;
     c.tasks = job.overflow;
@@ -119,17 +119,17 @@
     c.zone = job.spec.zone.value_or("");
     c.spot = job.spec.spot;
     c.image = job.spec.image;
-    c.spare = part.free_share(job.spec.team);
+    c.spare = shard.free_share(job.spec.team);
     c.spare = {std::max<std::int64_t>(0, c.spare.cpu), std::max<std::int64_t>(0, c.spare.gpu)};
-    for (const auto& [name, route] : cluster_.routes)
-      if (name != part.name && cluster_.reachable(route.host)) n.asked.insert(name);
+    for (const auto& [name, route] : state_.routes)
+      if (name != shard.name && state_.reachable(route.host)) n.asked.insert(name);
     if (n.asked.empty()) {
       job.refused = true;
       continue;
     }
     ++counters_.calls;
     ++calls;
-    cluster_.context.debug([&] {
+    state_.context.debug([&] {
       return "call " + std::to_string(c.id) + " for " + std::to_string(c.tasks) + " tasks of " + id;
     });
     auto [it, fresh] = open_.emplace(c.id, std::move(n));
@@ -140,10 +140,10 @@
 void ContractNet::ask(Negotiation& n) {
   ++counters_.rounds;
   n.proposals.clear();
-  n.until = cluster_.now() + kAnswerWithin;
-  for (const std::string& part : n.asked) {
+  n.until = state_.now() + kAnswerWithin;
+  for (const std::string& shard : n.asked) {
     Call call = n.call;
-    send(part, std::move(call));
+    send(shard, std::move(call));
   }
 }
 
@@ -151,9 +151,9 @@
   auto it = open_.find(p.id);
   if (it == open_.end()) return;
   Negotiation& n = it->second;
-  if (p.round != n.call.round || !n.asked.contains(p.part)) return;
-  n.proposals[p.part] = p;
-  if (n.proposals.size() == n.asked.size()) n.until = cluster_.now();
+  if (p.round != n.call.round || !n.asked.contains(p.shard)) return;
+  n.proposals[p.shard] = p;
+  if (n.proposals.size() == n.asked.size()) n.until = state_.now();
 }
 
 double ContractNet::score(const Proposal& p) const {
@@ -163,12 +163,12 @@
 void ContractNet::decide(std::uint64_t id) {
   Negotiation n = std::move(open_.at(id));
   open_.erase(id);
-  Part* part = cluster_.ready(n.part);
-  if (part == nullptr || part->generation != n.generation) return;
-  auto job_it = part->jobs.find(n.call.job);
-  if (job_it == part->jobs.end()) return;
+  Shard* shard = state_.ready_shard(n.shard);
+  if (shard == nullptr || shard->leadership_term != n.leadership_term) return;
+  auto job_it = shard->jobs.find(n.call.job);
+  if (job_it == shard->jobs.end()) return;
   Job& job = job_it->second;
-  if (!job.can_start(cluster_.now()) || job.unsettled) return;
+  if (!job.can_start(state_.now()) || job.unsettled) return;
 
   // Hard limits: some tasks, and a room version to hold the award against.
   std::vector<Proposal> feasible;
@@ -176,53 +176,52 @@
     if (may_be_awarded(job) && p.tasks > 0 && p.tasks <= n.call.tasks && p.room_stamp != 0)
       feasible.push_back(p);
   std::sort(feasible.begin(), feasible.end(), [&](const Proposal& a, const Proposal& b) {
-    return std::pair(score(a), a.part) < std::pair(score(b), b.part);
+    return std::pair(score(a), a.shard) < std::pair(score(b), b.shard);
   });
   if (feasible.empty()) {
     ++counters_.infeasible;
     job.refused = true;
-    if (!job.short_of_share) return refuse_alike(*part, job);
-    ask_for_share(*part, job, n);
+    if (!job.short_of_share) return refuse_alike(*shard, job);
+    ask_for_share(*shard, job, n);
     return;
   }
   const bool close =
       feasible.size() > 1 && score(feasible[1]) - score(feasible[0]) <=
-                                 cluster_.context.policy.close_bids * std::max(score(feasible[1]), 1e-9);
-  if (close && static_cast<int>(n.call.round) < cluster_.context.policy.call_rounds) {
+                                 state_.context.policy.close_bids * std::max(score(feasible[1]), 1e-9);
+  if (close && static_cast<int>(n.call.round) < state_.context.policy.call_rounds) {
     ++n.call.round;
     n.call.disclosed = true;
     n.call.priority = job.spec.priority;
-    n.call.deadline_in =
-        job.spec.deadline ? std::max(millis(1), job.due() - cluster_.context.wall) : Micros{0};
+    n.call.deadline_in = job.spec.deadline ? std::max(millis(1), job.due() - state_.context.wall) : Micros{0};
     n.asked.clear();
-    for (const Proposal& p : feasible) n.asked.insert(p.part);
+    for (const Proposal& p : feasible) n.asked.insert(p.shard);
     ask(open_.emplace(id, std::move(n)).first->second);
     return;
   }
-  award(*part, job, feasible.front());
+  award(*shard, job, feasible.front());
 }
 
 /// Nobody has room under its own share; unused share may still be had, piece by piece: what each part has
 /// left may be less than one task takes.
-void ContractNet::ask_for_share(Part& part, const Job& job, const Negotiation& n) {
+void ContractNet::ask_for_share(Shard& shard, const Job& job, const Negotiation& n) {
   std::vector<const Proposal*> rich;
   for (const auto& [name, p] : n.proposals)
     if (p.free_share != Quota{}) rich.push_back(&p);
   std::sort(rich.begin(), rich.end(),
             [](const Proposal* a, const Proposal* b) { return a->free_share > b->free_share; });
   const Quota want = quota_of(job.spec.each) * static_cast<std::int64_t>(job.waiting.size());
-  Quota had = part.free_share(job.spec.team);
+  Quota had = shard.free_share(job.spec.team);
   for (const Proposal* p : rich) {
     if (want.fits_in(had)) return;
-    send(p->part, Lend{p->part, part.name, job.spec.team, want - had, job.accepted});
+    send(p->shard, Lend{p->shard, shard.name, job.spec.team, want - had, job.accepted});
     had += p->free_share;
   }
 }
 
 /// Who had no room for one task of this job has none for its like either: these need not call one by one.
-void ContractNet::refuse_alike(Part& part, const Job& refused) {
+void ContractNet::refuse_alike(Shard& shard, const Job& refused) {
   const JobSpec& r = refused.spec;
-  for (const Ranked& ranked : part.queue) {
+  for (const Ranked& ranked : shard.queue) {
     Job& job = *ranked.job;
     const JobSpec& s = job.spec;
     if (&job == &refused || job.overflow == 0 || job.offered > 0 || job.short_of_share) continue;
@@ -234,10 +233,10 @@
   }
 }
 
-void ContractNet::award(Part& part, Job& job, const Proposal& best) {
-  if (part.room_busy || part.room_stale || part.room_stamp == 0) return;
+void ContractNet::award(Shard& shard, Job& job, const Proposal& best) {
+  if (shard.room_busy || shard.room_stale || shard.room_stamp == 0) return;
   const Quota each = quota_of(job.spec.each);
-  Quota spare = part.free_share(job.spec.team);
+  Quota spare = shard.free_share(job.spec.team);
   spare = {std::max<std::int64_t>(0, spare.cpu), std::max<std::int64_t>(0, spare.gpu)};
   std::int64_t count = std::min<std::int64_t>({best.tasks, static_cast<std::int64_t>(job.waiting.size()),
                                                static_cast<std::int64_t>(kTasksPerAward),
@@ -248,19 +247,19 @@
   moved = {std::max<std::int64_t>(0, moved.cpu), std::max<std::int64_t>(0, moved.gpu)};
 
   Move move;
-  move.part = part.name;
-  move.generation = part.generation;
-  move.to = best.part;
+  move.shard = shard.name;
+  move.leadership_term = shard.leadership_term;
+  move.to = best.shard;
   move.team = job.spec.team;
   move.moved = moved;
   move.job = job.spec.id;
-  move.key = records::award_key(best.part, job.spec.id, part.next_attempt());
+  move.key = records::award_key(best.shard, job.spec.id, shard.next_attempt());
   for (std::int64_t i = 0; i < count; ++i) {
     move.tasks.push_back(job.waiting.back());
     job.leave_waiting(job.waiting.back(), {Task::State::elsewhere, nullptr, 0});
   }
   // The record has to stay below the size of a value.
-  const std::size_t most_ranges = cluster_.context.settings.state_value_bytes / 2 / kRangeBytes;
+  const std::size_t most_ranges = state_.context.settings.state_value_bytes / 2 / kRangeBytes;
   std::vector<std::pair<std::uint32_t, std::uint32_t>> ranges = ranges_of(move.tasks);
   while (ranges.size() > most_ranges) {
     for (std::uint32_t i = 0; i < ranges.back().second; ++i) {
@@ -270,66 +269,65 @@
     ranges.pop_back();
   }
   job.offered += static_cast<std::uint32_t>(move.tasks.size());
-  const records::Award record{part.name, std::move(ranges), {part.name, job.spec, job.accepted}};
-  commit_move(part, move, Write{move.key, records::to_json(record), 0}, best.room_stamp);
+  const records::Award record{shard.name, std::move(ranges), {shard.name, job.spec, job.accepted}};
+  commit_move(shard, move, Write{move.key, records::to_json(record), 0}, best.room_stamp);
 }
 
-void ContractNet::commit_move(Part& part, const Move& move, const std::optional<Write>& award,
+void ContractNet::commit_move(Shard& shard, const Move& move, const std::optional<Write>& award,
                               std::uint64_t other_stamp) {
-  part.room_busy = true;
-  part.lending[move.team] += move.moved;
-  const Condition holds = cluster_.holds(part);
-  cluster_.store.get(records::room_key(move.to),
-                     [this, move, award, other_stamp, holds](const StateAnswer& a) {
-                       Part* p = cluster_.known(move.part, move.generation);
-                       if (p == nullptr) return;
-                       std::optional<records::Room> other;
-                       if (a.ok() && !a.rows.empty()) other = records::room(a.rows.front().value);
-                       // The room offered is the room of that version; any other has been awarded to somebody
-                       // meanwhile.
-                       if (!other || (other_stamp != 0 && a.rows.front().stamp != other_stamp)) {
-                         ++counters_.conflicts;
-                         // Its holder may not know: the word of an award to it can be lost.
-                         if (other) send(move.to, Awarded{move.to});
-                         return settle_move(move, false);
-                       }
-                       other->shares[move.team] += move.moved;
-                       records::Room own{p->shares};
-                       own.shares[move.team] -= move.moved;
-                       StateCommit txn;
-                       txn.conditions = {holds,
-                                         {records::room_key(p->name), p->room_stamp},
-                                         {records::room_key(move.to), a.rows.front().stamp}};
-                       txn.writes = {{records::room_key(p->name), records::to_json(own), 0},
-                                     {records::room_key(move.to), records::to_json(*other), 0}};
-                       if (award) {
-                         // Nothing of a job that is over is awarded, whatever its owner believes.
-                         txn.conditions.push_back({records::job_key(move.job), 0});
-                         txn.conditions.push_back({move.key, 0});
-                         txn.writes.push_back(*award);
-                       }
-                       cluster_.store.commit(std::move(txn), [this, move](const StateAnswer& b) {
-                         Part* q = cluster_.known(move.part, move.generation);
-                         if (q == nullptr) return;
-                         if (b.ok()) {
-                           q->room_stamp = b.revision;
-                           settle_move(move, true);
-                         } else if (b.outcome == Outcome::lost) {
-                           find_out(*q, move);
-                         } else {
-                           if (b.outcome == Outcome::conflict) {
-                             ++counters_.conflicts;
-                             q->room_stale = true;
-                             hooks_.doubt_holdings();
-                           }
-                           settle_move(move, false);
-                         }
-                       });
-                     });
+  shard.room_busy = true;
+  shard.lending[move.team] += move.moved;
+  const Condition holds = state_.fenced_by(shard);
+  state_.store.get(records::room_key(move.to), [this, move, award, other_stamp, holds](const StateAnswer& a) {
+    Shard* p = state_.shard_in_term(move.shard, move.leadership_term);
+    if (p == nullptr) return;
+    std::optional<records::Room> other;
+    if (a.ok() && !a.rows.empty()) other = records::room(a.rows.front().value);
+    // The room offered is the room of that version; any other has been awarded to somebody
+    // meanwhile.
+    if (!other || (other_stamp != 0 && a.rows.front().stamp != other_stamp)) {
+      ++counters_.conflicts;
+      // Its holder may not know: the word of an award to it can be lost.
+      if (other) send(move.to, Awarded{move.to});
+      return settle_move(move, false);
+    }
+    other->shares[move.team] += move.moved;
+    records::Room own{p->shares};
+    own.shares[move.team] -= move.moved;
+    StateCommit txn;
+    txn.conditions = {holds,
+                      {records::room_key(p->name), p->room_stamp},
+                      {records::room_key(move.to), a.rows.front().stamp}};
+    txn.writes = {{records::room_key(p->name), records::to_json(own), 0},
+                  {records::room_key(move.to), records::to_json(*other), 0}};
+    if (award) {
+      // Nothing of a job that is over is awarded, whatever its owner believes.
+      txn.conditions.push_back({records::job_key(move.job), 0});
+      txn.conditions.push_back({move.key, 0});
+      txn.writes.push_back(*award);
+    }
+    state_.store.commit(std::move(txn), [this, move](const StateAnswer& b) {
+      Shard* q = state_.shard_in_term(move.shard, move.leadership_term);
+      if (q == nullptr) return;
+      if (b.ok()) {
+        q->room_stamp = b.revision;
+        settle_move(move, true);
+      } else if (b.outcome == Outcome::lost) {
+        find_out(*q, move);
+      } else {
+        if (b.outcome == Outcome::conflict) {
+          ++counters_.conflicts;
+          q->room_stale = true;
+          hooks_.invalidate_leases();
+        }
+        settle_move(move, false);
+      }
+    });
+  });
 }
 
 void ContractNet::settle_move(const Move& move, bool applied) {
-  Part* p = cluster_.known(move.part, move.generation);
+  Shard* p = state_.shard_in_term(move.shard, move.leadership_term);
   if (p == nullptr) return;
   p->room_busy = false;
   p->lending[move.team] -= move.moved;
@@ -341,7 +339,7 @@
     job.offered -= static_cast<std::uint32_t>(move.tasks.size());
     if (applied) {
       job.awards[move.key] = move.to;
-      job.next_call = cluster_.now();
+      job.next_call = state_.now();
     } else {
       for (std::uint32_t index : move.tasks) job.set_waiting(index);
     }
@@ -349,35 +347,35 @@
   if (!applied) return;
   if (!move.job.empty()) {
     ++counters_.awards;
-    cluster_.context.info("awarded " + std::to_string(move.tasks.size()) + " tasks of " + move.job +
-                          " to part " + move.to);
+    state_.context.info("awarded " + std::to_string(move.tasks.size()) + " tasks of " + move.job +
+                        " to part " + move.to);
   } else {
     ++counters_.shares_moved;
   }
   send(move.to, Awarded{move.to});
 }
 
-void ContractNet::find_out(Part& part, const Move& move) {
+void ContractNet::find_out(Shard& shard, const Move& move) {
   // No answer: the write may have been made, or be made later. It compares our room record, so rewriting
   // that record makes sure that it is made now or never.
-  cluster_.store.get(records::room_key(part.name), [this, move](const StateAnswer& a) {
-    Part* p = cluster_.known(move.part, move.generation);
+  state_.store.get(records::room_key(shard.name), [this, move](const StateAnswer& a) {
+    Shard* p = state_.shard_in_term(move.shard, move.leadership_term);
     if (p == nullptr) return;
     auto room = a.ok() && !a.rows.empty() ? records::room(a.rows.front().value) : std::nullopt;
     if (!room) return find_out_later(move);
     StateCommit txn;
-    txn.conditions = {cluster_.holds(*p), {records::room_key(p->name), a.rows.front().stamp}};
+    txn.conditions = {state_.fenced_by(*p), {records::room_key(p->name), a.rows.front().stamp}};
     txn.writes = {{records::room_key(p->name), records::to_json(*room), 0}};
-    cluster_.store.commit(std::move(txn), [this, move, shares = room->shares](const StateAnswer& b) {
-      Part* q = cluster_.known(move.part, move.generation);
+    state_.store.commit(std::move(txn), [this, move, shares = room->shares](const StateAnswer& b) {
+      Shard* q = state_.shard_in_term(move.shard, move.leadership_term);
       if (q == nullptr) return;
       if (!b.ok()) {
-        hooks_.doubt_holdings();
+        hooks_.invalidate_leases();
         return find_out_later(move);
       }
       q->room_stamp = b.revision;
       auto conclude = [this, move, shares](bool applied) {
-        Part* r = cluster_.known(move.part, move.generation);
+        Shard* r = state_.shard_in_term(move.shard, move.leadership_term);
         if (r == nullptr) return;
         settle_move(move, applied);
         r->shares = shares;
@@ -389,7 +387,7 @@
         conclude(false);
         return;
       }
-      cluster_.store.get(move.key, [this, move, conclude](const StateAnswer& c) {
+      state_.store.get(move.key, [this, move, conclude](const StateAnswer& c) {
         if (c.ok() || c.outcome == Outcome::absent) return conclude(c.ok());
         find_out_later(move);
       });
@@ -398,19 +396,19 @@
 }
 
 void ContractNet::find_out_later(const Move& move) {
-  cluster_.context.later(millis(300), [this, move] {
-    if (Part* p = cluster_.known(move.part, move.generation)) find_out(*p, move);
+  state_.context.later(millis(300), [this, move] {
+    if (Shard* p = state_.shard_in_term(move.shard, move.leadership_term)) find_out(*p, move);
   });
 }
 
 void ContractNet::on_lend(const Lend& lend) {
-  Part* part = cluster_.ready(lend.from);
-  if (part == nullptr || lend.to == lend.from || !cluster_.routes.contains(lend.to)) return;
-  if (part->room_busy || part->room_stale || part->room_stamp == 0 || !part->shares.contains(lend.team))
+  Shard* shard = state_.ready_shard(lend.from);
+  if (shard == nullptr || lend.to == lend.from || !state_.routes.contains(lend.to)) return;
+  if (shard->room_busy || shard->room_stale || shard->room_stamp == 0 || !shard->shares.contains(lend.team))
     return;
-  const Quota unused = part->free_share(lend.team);
+  const Quota unused = shard->free_share(lend.team);
   Quota free = unused;
-  for (const auto& [id, job] : part->jobs) {
+  for (const auto& [id, job] : shard->jobs) {
     if (job.spec.team != lend.team || job.ended || job.waiting.empty()) continue;
     const Quota each = quota_of(job.spec.each);
     // A job that no machine can be had for does not hold on to share that others can use. Nor does one that
@@ -420,78 +418,79 @@
     free -= each * (job.suspect() ? 1 : static_cast<std::int64_t>(job.waiting.size()));
   }
   Move move;
-  move.part = part->name;
-  move.generation = part->generation;
+  move.shard = shard->name;
+  move.leadership_term = shard->leadership_term;
   move.to = lend.to;
   move.team = lend.team;
   move.moved = {std::clamp<std::int64_t>(free.cpu, 0, std::max<std::int64_t>(0, lend.want.cpu)),
                 std::clamp<std::int64_t>(free.gpu, 0, std::max<std::int64_t>(0, lend.want.gpu))};
   if (move.moved == Quota{}) return;
-  commit_move(*part, move, std::nullopt, 0);
+  commit_move(*shard, move, std::nullopt, 0);
 }
 
 // ---- the responder -------------------------------------------------------------------------------
 
 void ContractNet::on_call(const Call& call) {
-  for (auto& [name, part] : cluster_.parts) {
-    if (name == call.from_part || !cluster_.acting()) continue;
+  for (auto& [name, shard] : state_.shards) {
+    if (name == call.from_shard || !state_.lease_valid()) continue;
     Proposal p;
     p.id = call.id;
     p.round = call.round;
-    p.part = name;
-    if (part.ready() && !part.room_stale && !part.room_busy && part.shares.contains(call.team)) {
-      scheduler_.pass(part);
-      const Scheduler::Offer offer = scheduler_.offer(part, call);
+    p.shard = name;
+    if (shard.ready() && !shard.room_stale && !shard.room_busy && shard.shares.contains(call.team)) {
+      scheduler_.pass(shard);
+      const Scheduler::Offer offer = scheduler_.offer(shard, call);
       std::int64_t size = 1, used = 0;
-      for (const auto& [machine, m] : part.machines) size += m.size.cpu, used += m.used.cpu;
-      const Quota free = part.free_share(call.team);
+      for (const auto& [machine, m] : shard.machines) size += m.size.cpu, used += m.used.cpu;
+      const Quota free = shard.free_share(call.team);
       p.free_share = {std::max<std::int64_t>(0, free.cpu), std::max<std::int64_t>(0, free.gpu)};
       p.tasks = offer.tasks;
       p.start_delay = offer.delay;
       p.load_permille = static_cast<std::uint32_t>(std::clamp<std::int64_t>(used * 1000 / size, 0, 1000));
-      p.room_stamp = part.room_stamp;
+      p.room_stamp = shard.room_stamp;
     }
-    cluster_.context.act(PeerSend{cluster_.holder(call.from_part), p});
+    state_.context.act(PeerSend{state_.leader_of(call.from_shard), p});
   }
 }
 
 void ContractNet::on_awarded(const std::string& name) {
-  Part* part = cluster_.ready(name);
-  if (part == nullptr) return;
-  part->next_awards = Micros{0};
-  part->room_stale = true;
+  Shard* shard = state_.ready_shard(name);
+  if (shard == nullptr) return;
+  shard->next_awards = Micros{0};
+  shard->room_stale = true;
 }
 
-void ContractNet::on_ended(const Ended& ended) { cluster_.learn_end(ended.job, std::nullopt); }
-
-void ContractNet::read_room(Part& part) {
-  part.room_busy = true;
-  cluster_.store.get(records::room_key(part.name),
-                     [this, name = part.name, generation = part.generation](const StateAnswer& a) {
-                       Part* p = cluster_.known(name, generation);
-                       if (p == nullptr) return;
-                       p->room_busy = false;
-                       if (!a.ok() || a.rows.empty()) return;
-                       auto room = records::room(a.rows.front().value);
-                       if (!room || a.rows.front().stamp < p->room_stamp) return;
-                       p->shares = room->shares;
-                       p->room_stamp = a.rows.front().stamp;
-                       p->room_stale = false;
-                       p->changed();
-                     });
+void ContractNet::on_ended(const Ended& ended) { state_.record_job_end(ended.job, std::nullopt); }
+
+void ContractNet::read_room(Shard& shard) {
+  shard.room_busy = true;
+  state_.store.get(records::room_key(shard.name),
+                   [this, name = shard.name, leadership_term = shard.leadership_term](const StateAnswer& a) {
+                     Shard* p = state_.shard_in_term(name, leadership_term);
+                     if (p == nullptr) return;
+                     p->room_busy = false;
+                     if (!a.ok() || a.rows.empty()) return;
+                     auto room = records::room(a.rows.front().value);
+                     if (!room || a.rows.front().stamp < p->room_stamp) return;
+                     p->shares = room->shares;
+                     p->room_stamp = a.rows.front().stamp;
+                     p->room_stale = false;
+                     p->changed();
+                   });
 }
 
-void ContractNet::read_awards(Part& part) {
-  if (part.reading_awards) return;
-  part.reading_awards = true;
-  part.next_awards = cluster_.now() + kReadEvery;
-  cluster_.store.list(records::award_prefix(part.name), [this, name = part.name, generation = part.generation,
-                                                         asked = cluster_.now()](const StateAnswer& a) {
-    Part* p = cluster_.known(name, generation);
+void ContractNet::read_awards(Shard& shard) {
+  if (shard.reading_awards) return;
+  shard.reading_awards = true;
+  shard.next_awards = state_.now() + kReadEvery;
+  state_.store.list(records::award_prefix(shard.name), [this, name = shard.name,
+                                                        leadership_term = shard.leadership_term,
+                                                        asked = state_.now()](const StateAnswer& a) {
+    Shard* p = state_.shard_in_term(name, leadership_term);
     if (p == nullptr) return;
     p->reading_awards = false;
     if (!a.ok()) return;
-    p->awards_known(asked, cluster_.context.settings.term());
+    p->awards_known(asked, state_.context.settings.lease_term());
     p->changed();
     load_awards(*p, a.rows, asked);
     // What is no longer awarded to us is over: done, or cancelled by its owner.
@@ -505,36 +504,36 @@
   });
 }
 
-void ContractNet::load_awards(Part& part, const std::vector<StateRow>& rows, Micros asked) {
+void ContractNet::load_awards(Shard& shard, const std::vector<StateRow>& rows, Micros asked) {
   for (const StateRow& row : rows) {
     const auto key = records::split_key(row.key);
     auto award = records::award(row.value);
     if (key.size() != 4 || !award) continue;
     const std::string& winner = key[1];
-    if (winner != part.name && award->owner != part.name) continue;
+    if (winner != shard.name && award->owner != shard.name) continue;
     const std::string& id = award->job.spec.id;
-    auto it = part.jobs.find(id);
-    if (winner == part.name) {
+    auto it = shard.jobs.find(id);
+    if (winner == shard.name) {
       // The list may be older than the word of the job's end.
-      if (!cluster_.may_act_on(part, id, asked)) continue;
-      if (it == part.jobs.end()) {
+      if (!state_.may_act_on(shard, id, asked)) continue;
+      if (it == shard.jobs.end()) {
         Job job;
         job.spec = award->job.spec;
         job.accepted = award->job.accepted;
         job.owner = award->owner;
         job.tasks.assign(job.spec.tasks, {Task::State::elsewhere, nullptr, 0});
         job.recorded.assign(job.spec.tasks, false);
-        job.unsettled = !part.ready();
-        part.unsettled_jobs |= job.unsettled;
-        it = part.jobs.emplace(id, std::move(job)).first;
+        job.unsettled = !shard.ready();
+        shard.unsettled_jobs |= job.unsettled;
+        it = shard.jobs.emplace(id, std::move(job)).first;
       }
       Job& job = it->second;
       if (job.owner.empty() || !job.awards.emplace(row.key, winner).second) continue;
-      part.changed();
+      shard.changed();
       for (const auto& [first, count] : award->ranges)
         for (std::uint32_t i = first; i < first + count && i < job.tasks.size(); ++i)
           if (job.tasks[i].state == Task::State::elsewhere) job.set_waiting(i);
-    } else if (it != part.jobs.end()) {
+    } else if (it != shard.jobs.end()) {
       Job& job = it->second;
       if (!job.awards.emplace(row.key, winner).second) continue;
       for (const auto& [first, count] : award->ranges)
@@ -548,40 +547,40 @@
 // ---- what became of awarded tasks ----------------------------------------------------------------
 
 void ContractNet::on_progress(const std::string& name) {
-  if (Part* part = cluster_.ready(name))
-    part->next_progress = std::min(part->next_progress, cluster_.now() + millis(150));
+  if (Shard* shard = state_.ready_shard(name))
+    shard->next_progress = std::min(shard->next_progress, state_.now() + millis(150));
 }
 
-void ContractNet::read_progress(Part& part) {
-  if (part.reading_progress) return;
-  part.reading_progress = true;
-  part.next_progress = cluster_.now() + kReadEvery;
-  cluster_.store.list(records::kDonePrefix,
-                      [this, name = part.name, generation = part.generation](const StateAnswer& a) {
-                        Part* p = cluster_.known(name, generation);
-                        if (p == nullptr) return;
-                        p->reading_progress = false;
-                        if (a.ok()) load_progress(*p, a.rows, false);
-                      });
+void ContractNet::read_progress(Shard& shard) {
+  if (shard.reading_progress) return;
+  shard.reading_progress = true;
+  shard.next_progress = state_.now() + kReadEvery;
+  state_.store.list(records::kDonePrefix,
+                    [this, name = shard.name, leadership_term = shard.leadership_term](const StateAnswer& a) {
+                      Shard* p = state_.shard_in_term(name, leadership_term);
+                      if (p == nullptr) return;
+                      p->reading_progress = false;
+                      if (a.ok()) load_progress(*p, a.rows, false);
+                    });
 }
 
-void ContractNet::load_progress(Part& part, const std::vector<StateRow>& rows, bool own_too) {
+void ContractNet::load_progress(Shard& shard, const std::vector<StateRow>& rows, bool own_too) {
   for (const StateRow& row : rows) {
     const auto key = records::split_key(row.key);
     if (key.size() != 3) continue;
-    const bool own = key[1] == part.name;
+    const bool own = key[1] == shard.name;
     if (own && !own_too) continue;
     auto done = records::done(row.value);
     DoneSlot* slot = nullptr;
     if (own) {
-      slot = &part.done_slots[static_cast<std::uint32_t>(std::strtoul(key[2].c_str(), nullptr, 10))];
+      slot = &shard.done_slots[static_cast<std::uint32_t>(std::strtoul(key[2].c_str(), nullptr, 10))];
       slot->stamp = row.stamp;
     }
     if (!done) continue;
     for (const records::DoneBits& d : *done) {
-      auto it = part.jobs.find(d.job);
+      auto it = shard.jobs.find(d.job);
       // What is not ours any more is left out when the record is written next.
-      if (it == part.jobs.end() || (!own && !it->second.owner.empty())) continue;
+      if (it == shard.jobs.end() || (!own && !it->second.owner.empty())) continue;
       Job& job = it->second;
       if (slot != nullptr && slot->chunks.insert({d.job, d.chunk}).second)
         slot->bytes += records::done_bytes(d.job, d.bits.size());
--- a/src/core/contract.h
+++ b/src/core/contract.h
@@ -11,25 +11,25 @@
 class ContractNet {
  public:
   struct Hooks {
-    std::function<void()> doubt_holdings;
+    std::function<void()> invalidate_leases;
   };
-  ContractNet(Cluster& cluster, Scheduler& scheduler, Hooks hooks);
+  ContractNet(ControllerState& state, Scheduler& scheduler, Hooks hooks);
 
   void tick();
   void on_call(const Call& call);
   void on_proposal(const Proposal& proposal);
   void on_lend(const Lend& lend);
-  void on_awarded(const std::string& part);
+  void on_awarded(const std::string& shard);
   void on_ended(const Ended& ended);
-  void on_progress(const std::string& part);
+  void on_progress(const std::string& shard);
   /// Awarded tasks go once we can't tell any more whether they still are ours: their job may be cancelled. To
   /// be called before each answer to a worker, which renews its lease: no renewal without the stop.
-  void stop_doubtful(Part& part, Machine& m);
+  void stop_doubtful(Shard& shard, Machine& m);
   /// Applies the award records of a part when it is loaded.
   /// `asked`: when they were asked for.
-  void load_awards(Part& part, const std::vector<StateRow>& rows, Micros asked);
+  void load_awards(Shard& shard, const std::vector<StateRow>& rows, Micros asked);
   /// The end of finished tasks as other parts recorded it.
-  void load_progress(Part& part, const std::vector<StateRow>& rows, bool own_too);
+  void load_progress(Shard& shard, const std::vector<StateRow>& rows, bool own_too);
 
   struct Counters {
     std::uint64_t calls = 0, rounds = 0, awards = 0, conflicts = 0, infeasible = 0, shares_moved = 0;
@@ -39,25 +39,25 @@
 
  private:
   struct Negotiation {
-    std::string part;
-    std::uint64_t generation;
+    std::string shard;
+    std::uint64_t leadership_term;
     Call call;
     std::set<std::string> asked;
     std::map<std::string, Proposal> proposals;
     Micros until{0};
   };
 
-  void start_calls(Part& part);
+  void start_calls(Shard& shard);
   bool may_be_awarded(const Job& job) const;
   void ask(Negotiation& n);
   void decide(std::uint64_t id);
-  void ask_for_share(Part& part, const Job& job, const Negotiation& n);
-  void refuse_alike(Part& part, const Job& refused);
-  void award(Part& part, Job& job, const Proposal& best);
+  void ask_for_share(Shard& shard, const Job& job, const Negotiation& n);
+  void refuse_alike(Shard& shard, const Job& refused);
+  void award(Shard& shard, Job& job, const Proposal& best);
   /// A write that moves share out of a part's room and perhaps an award with it.
   struct Move {
-    std::string part;
-    std::uint64_t generation = 0;
+    std::string shard;
+    std::uint64_t leadership_term = 0;
     std::string to;
     std::string team;
     Quota moved;
@@ -65,20 +65,20 @@
     std::string key;
     std::vector<std::uint32_t> tasks;
   };
-  void commit_move(Part& part, const Move& move, const std::optional<Write>& award,
+  void commit_move(Shard& shard, const Move& move, const std::optional<Write>& award,
                    std::uint64_t room_stamp_of_other);
   void settle_move(const Move& move, bool applied);
-  void find_out(Part& part, const Move& move);
+  void find_out(Shard& shard, const Move& move);
   void find_out_later(const Move& move);
-  void read_room(Part& part);
-  void read_awards(Part& part);
-  void read_progress(Part& part);
-  void send(const std::string& part, PeerMessage message);
+  void read_room(Shard& shard);
+  void read_awards(Shard& shard);
+  void read_progress(Shard& shard);
+  void send(const std::string& shard, PeerMessage message);
   double score(const Proposal& p) const;
 
   static constexpr std::size_t kOpen = 16;
 
-  Cluster& cluster_;
+  ControllerState& state_;
   Scheduler& scheduler_;
   Hooks hooks_;
   std::map<std::uint64_t, Negotiation> open_;
--- a/src/core/controller.cpp
+++ b/src/core/controller.cpp
@@ -8,35 +8,35 @@
 
 namespace {
 
-constexpr Micros kLookEvery = millis(100);
+constexpr Micros kSchedulingInterval = millis(100);
 constexpr Micros kPolicyEvery = seconds(5);
 
 }  // namespace
 
 Controller::Controller(Settings settings, std::string incarnation, std::uint64_t seed)
     : context_{std::move(settings), {}, std::move(incarnation), std::mt19937_64(seed), {}, {}, {}, {}},
-      cluster_(context_),
-      fleet_(cluster_, {[this](Part& p, Machine& m) {
-                          net_.stop_doubtful(p, m);
-                          scheduler_.fill(p, m);
-                        },
-                        [this] { holdings_.doubt(); }}),
-      scheduler_(cluster_, fleet_),
-      net_(cluster_, scheduler_, {[this] { holdings_.doubt(); }}),
-      jobs_(cluster_, {[this](Part& p) { schedule(p); }, [this] { holdings_.doubt(); }}),
-      renter_(cluster_, fleet_),
-      holdings_(
-          cluster_, fleet_, [this](Part& p) { load(p); },
-          [this](const std::string& part) { fleet_.on_part_dropped(part); }) {}
+      state_(context_),
+      fleet_(state_, {[this](Shard& p, Machine& m) {
+                        net_.stop_doubtful(p, m);
+                        scheduler_.fill(p, m);
+                      },
+                      [this] { shard_leases_.invalidate(); }}),
+      scheduler_(state_, fleet_),
+      net_(state_, scheduler_, {[this] { shard_leases_.invalidate(); }}),
+      jobs_(state_, {[this](Shard& p) { schedule(p); }, [this] { shard_leases_.invalidate(); }}),
+      renter_(state_, fleet_),
+      shard_leases_(
+          state_, fleet_, [this](Shard& p) { load(p); },
+          [this](const std::string& shard) { fleet_.on_shard_lost(shard); }) {}
 
 void Controller::at(Micros steady, Micros wall) {
   context_.now = std::max(context_.now, steady);
   context_.wall = wall;
 }
 
-void Controller::schedule(Part& part) {
-  scheduler_.pass(part);
-  fleet_.push_orders(part);
+void Controller::schedule(Shard& shard) {
+  scheduler_.pass(shard);
+  fleet_.push_orders(shard);
 }
 
 void Controller::tick() {
@@ -45,15 +45,15 @@
     context_.timers.erase(context_.timers.begin());
     what();
   }
-  holdings_.tick();
-  cluster_.store.pump();
+  shard_leases_.tick();
+  state_.store.pump();
   if (context_.now >= next_policy_) read_policy();
-  if (context_.now >= next_look_) {
-    next_look_ = context_.now + kLookEvery;
+  if (context_.now >= next_scheduling_) {
+    next_scheduling_ = context_.now + kSchedulingInterval;
     fleet_.tick();
-    if (cluster_.acting())
-      for (auto& [name, part] : cluster_.parts)
-        if (part.ready()) schedule(part);
+    if (state_.lease_valid())
+      for (auto& [name, shard] : state_.shards)
+        if (shard.ready()) schedule(shard);
     jobs_.tick();
     net_.tick();
     renter_.tick();
@@ -61,7 +61,7 @@
 }
 
 bool Controller::healthy() {
-  return cluster_.ready(cluster_.self()) != nullptr && !cluster_.catalogue.empty();
+  return state_.ready_shard(state_.self()) != nullptr && !state_.catalogue.empty();
 }
 
 std::vector<Action> Controller::take_actions(Micros steady) {
@@ -82,8 +82,8 @@
       // Nor may starts be sent for what may be cancelled by now. They count as not sent by the next report.
       if (auto* call = std::get_if<WorkerCall>(&action); stood_still && call != nullptr)
         std::erase_if(call->request.orders, [](const Order& o) { return o.kind == Order::Kind::start; });
-      if (send != nullptr && send->host == cluster_.self())
-        on_peer(cluster_.self(), send->message);
+      if (send != nullptr && send->host == state_.self())
+        on_peer(state_.self(), send->message);
       else
         out.push_back(std::move(action));
     }
@@ -99,23 +99,23 @@
     void operator()(const JobReply& m) { c.jobs_.on_reply(m); }
     void operator()(const Call& m) { c.net_.on_call(m); }
     void operator()(const Proposal& m) { c.net_.on_proposal(m); }
-    void operator()(const Awarded& m) { c.net_.on_awarded(m.part); }
+    void operator()(const Awarded& m) { c.net_.on_awarded(m.shard); }
     void operator()(const Ended& m) { c.net_.on_ended(m); }
-    void operator()(const Progress& m) { c.net_.on_progress(m.part); }
-    void operator()(const HandBack& m) {
-      if (m.part == host) c.holdings_.hand_back(m.part);
+    void operator()(const Progress& m) { c.net_.on_progress(m.shard); }
+    void operator()(const FailbackRequest& m) {
+      if (m.shard == host) c.shard_leases_.fail_back(m.shard);
     }
     void operator()(const Lend& m) { c.net_.on_lend(m); }
     void operator()(const Scarce& m) { c.renter_.on_scarce(m); }
-    void operator()(const Wellbeing& m) { c.holdings_.on_wellbeing(host, m); }
-    void operator()(const Resign& m) { c.holdings_.on_resign(m); }
+    void operator()(const PeerHealth& m) { c.shard_leases_.on_peer_health(host, m); }
+    void operator()(const LeaseTransfer& m) { c.shard_leases_.on_lease_transfer(m); }
   };
   std::visit(Visitor{*this, host}, message);
 }
 
 void Controller::read_policy() {
   next_policy_ = context_.now + kPolicyEvery;
-  cluster_.store.get(records::kPolicyKey, [this](const StateAnswer& a) {
+  state_.store.get(records::kPolicyKey, [this](const StateAnswer& a) {
     if (!a.ok() || a.rows.empty()) return;
     Policy next;
     if (!Policy::apply(next, a.rows.front().value)) context_.policy = next;
@@ -132,14 +132,14 @@
     case What::policy:
       body = Policy::to_json(context_.policy);
       break;
-    case What::parts:
-      body = overview::parts(cluster_);
+    case What::shards:
+      body = overview::shards(state_);
       break;
     case What::machines:
-      body = overview::machines(cluster_);
+      body = overview::machines(state_);
       break;
     case What::jobs:
-      body = overview::jobs(cluster_);
+      body = overview::jobs(state_);
       break;
     case What::negotiations:
       body = overview::negotiations(net_);
@@ -152,7 +152,7 @@
 
 void Controller::change_policy(std::uint64_t request, const Value& fields) {
   // Read, change, and write on condition that nobody else has changed it meanwhile.
-  cluster_.store.get(records::kPolicyKey, [this, request, fields](const StateAnswer& a) {
+  state_.store.get(records::kPolicyKey, [this, request, fields](const StateAnswer& a) {
     auto unavailable = [this, request] {
       context_.act(AnswerAdmin{request, 503, {{"error", "the state service did not confirm; read again"}}});
     };
@@ -167,7 +167,7 @@
     StateCommit txn;
     txn.conditions = {{records::kPolicyKey, stamp}};
     txn.writes = {{records::kPolicyKey, Policy::to_json(next), 0}};
-    cluster_.store.commit(std::move(txn), [this, request, next, unavailable](const StateAnswer& b) {
+    state_.store.commit(std::move(txn), [this, request, next, unavailable](const StateAnswer& b) {
       if (!b.ok()) return unavailable();
       context_.policy = next;
       context_.info("operators changed the settings: " + Policy::to_json(next).dump());
@@ -178,10 +178,10 @@
 
 // ---- loading a part that was taken ---------------------------------------------------------------
 
-void Controller::load(Part& part) {
-  auto retry = [this, name = part.name, generation = part.generation] {
-    context_.later(millis(300), [this, name, generation] {
-      if (Part* p = cluster_.known(name, generation)) load(*p);
+void Controller::load(Shard& shard) {
+  auto retry = [this, name = shard.name, leadership_term = shard.leadership_term] {
+    context_.later(millis(300), [this, name, leadership_term] {
+      if (Shard* p = state_.shard_in_term(name, leadership_term)) load(*p);
     });
   };
   struct Gathered {
@@ -191,86 +191,87 @@
     bool failed = false;
   };
   auto gathered = std::make_shared<Gathered>();
-  gathered->asked = cluster_.now();
-  auto collect = [this, gathered, retry, name = part.name,
-                  generation = part.generation](std::vector<StateRow> Gathered::*into) {
-    return [this, gathered, retry, name, generation, into](const StateAnswer& a) {
+  gathered->asked = state_.now();
+  auto collect = [this, gathered, retry, name = shard.name,
+                  leadership_term = shard.leadership_term](std::vector<StateRow> Gathered::*into) {
+    return [this, gathered, retry, name, leadership_term, into](const StateAnswer& a) {
       if (a.ok())
         (*gathered).*into = a.rows;
       else
         gathered->failed = true;
       if (--gathered->missing > 0) return;
-      Part* p = cluster_.known(name, generation);
+      Shard* p = state_.shard_in_term(name, leadership_term);
       if (p == nullptr) return;
-      if (gathered->failed || cluster_.catalogue.empty()) return retry();
+      if (gathered->failed || state_.catalogue.empty()) return retry();
       loaded(*p, gathered->asked, gathered->live, gathered->claims, gathered->awards, gathered->done);
     };
   };
-  cluster_.store.list(records::kLivePrefix, collect(&Gathered::live));
-  cluster_.store.list(records::kClaimPrefix, collect(&Gathered::claims));
-  cluster_.store.list(records::kAwardPrefix, collect(&Gathered::awards));
-  cluster_.store.list(records::kDonePrefix, collect(&Gathered::done));
+  state_.store.list(records::kLivePrefix, collect(&Gathered::live));
+  state_.store.list(records::kClaimPrefix, collect(&Gathered::claims));
+  state_.store.list(records::kAwardPrefix, collect(&Gathered::awards));
+  state_.store.list(records::kDonePrefix, collect(&Gathered::done));
 }
 
-void Controller::loaded(Part& part, Micros asked, const std::vector<StateRow>& live,
+void Controller::loaded(Shard& shard, Micros asked, const std::vector<StateRow>& live,
                         const std::vector<StateRow>& claims, const std::vector<StateRow>& awards,
                         const std::vector<StateRow>& done) {
   // An earlier holder may have started anything on its machines.
-  fleet_.claims().load(part, claims);
+  fleet_.claims().load(shard, claims);
   for (const StateRow& row : live) {
     auto record = records::live_job(row.value);
     if (!record) continue;
     jobs_.learn(*record);
-    if (record->part == part.name && cluster_.may_act_on(part, record->spec.id, asked))
-      Jobs::load(part, *record).unsettled = true;
+    if (record->shard == shard.name && state_.may_act_on(shard, record->spec.id, asked))
+      Jobs::load(shard, *record).unsettled = true;
   }
-  part.unsettled_jobs = true;
-  net_.load_awards(part, awards, asked);
-  net_.load_progress(part, done, true);
-  fleet_.recall(part);
-  part.awards_known(part.taken_at, context_.settings.term());
-  make_room_record(part);
+  shard.unsettled_jobs = true;
+  net_.load_awards(shard, awards, asked);
+  net_.load_progress(shard, done, true);
+  fleet_.restore_unreachable_machines(shard);
+  shard.awards_known(shard.acquired_at, context_.settings.lease_term());
+  make_room_record(shard);
 }
 
-void Controller::make_room_record(Part& part) {
-  auto again = [this, name = part.name, generation = part.generation] {
-    context_.later(millis(300), [this, name, generation] {
-      if (Part* p = cluster_.known(name, generation)) make_room_record(*p);
+void Controller::make_room_record(Shard& shard) {
+  auto again = [this, name = shard.name, leadership_term = shard.leadership_term] {
+    context_.later(millis(300), [this, name, leadership_term] {
+      if (Shard* p = state_.shard_in_term(name, leadership_term)) make_room_record(*p);
     });
   };
-  cluster_.store.get(records::room_key(part.name), [this, again, name = part.name,
-                                                    generation = part.generation](const StateAnswer& a) {
-    Part* p = cluster_.known(name, generation);
-    if (p == nullptr) return;
-    if (a.ok() && !a.rows.empty()) {
-      auto room = records::room(a.rows.front().value);
-      if (!room) return again();
-      p->shares = room->shares;
-      p->room_stamp = a.rows.front().stamp;
-      p->stage = Part::Stage::ready;
-      context_.info("part " + name + " is ready: " + std::to_string(p->jobs.size()) + " jobs, " +
-                    std::to_string(p->machines.size()) + " machines");
-      fleet_.on_part_ready(*p);
-      renter_.on_part_ready(*p);
-      return;
-    }
-    if (a.outcome != Outcome::absent) return again();
-    // The first holder ever: an equal share of every limit, the first part with what is left over, so that
-    // they sum to the limit.
-    records::Room room;
-    const auto parts = static_cast<std::int64_t>(context_.settings.controllers());
-    const bool first = name == cluster_.routes.begin()->first;
-    auto share = [&](std::int64_t limit) { return limit / parts + (first ? limit % parts : 0); };
-    for (const Team& team : context_.settings.teams)
-      room.shares[team.name] = {share(team.limit.cpu), share(team.limit.gpu)};
-    StateCommit txn;
-    txn.conditions = {cluster_.holds(*p), {records::room_key(name), 0}};
-    txn.writes = {{records::room_key(name), records::to_json(room), 0}};
-    cluster_.store.commit(std::move(txn), [this, again, name, generation](const StateAnswer& b) {
-      Part* q = cluster_.known(name, generation);
-      b.ok() && q != nullptr ? make_room_record(*q) : again();
-    });
-  });
+  state_.store.get(
+      records::room_key(shard.name),
+      [this, again, name = shard.name, leadership_term = shard.leadership_term](const StateAnswer& a) {
+        Shard* p = state_.shard_in_term(name, leadership_term);
+        if (p == nullptr) return;
+        if (a.ok() && !a.rows.empty()) {
+          auto room = records::room(a.rows.front().value);
+          if (!room) return again();
+          p->shares = room->shares;
+          p->room_stamp = a.rows.front().stamp;
+          p->stage = Shard::Stage::ready;
+          context_.info("part " + name + " is ready: " + std::to_string(p->jobs.size()) + " jobs, " +
+                        std::to_string(p->machines.size()) + " machines");
+          fleet_.on_shard_ready(*p);
+          renter_.on_shard_ready(*p);
+          return;
+        }
+        if (a.outcome != Outcome::absent) return again();
+        // The first holder ever: an equal share of every limit, the first part with what is left over, so
+        // that they sum to the limit.
+        records::Room room;
+        const auto shards = static_cast<std::int64_t>(context_.settings.controllers());
+        const bool first = name == state_.routes.begin()->first;
+        auto share = [&](std::int64_t limit) { return limit / shards + (first ? limit % shards : 0); };
+        for (const Team& team : context_.settings.teams)
+          room.shares[team.name] = {share(team.limit.cpu), share(team.limit.gpu)};
+        StateCommit txn;
+        txn.conditions = {state_.fenced_by(*p), {records::room_key(name), 0}};
+        txn.writes = {{records::room_key(name), records::to_json(room), 0}};
+        state_.store.commit(std::move(txn), [this, again, name, leadership_term](const StateAnswer& b) {
+          Shard* q = state_.shard_in_term(name, leadership_term);
+          b.ok() && q != nullptr ? make_room_record(*q) : again();
+        });
+      });
 }
 
 }  // namespace bendtide
--- a/src/core/controller.h
+++ b/src/core/controller.h
@@ -26,7 +26,7 @@
   void on_poll(std::uint64_t request, const std::string& id) { jobs_.on_poll(request, id); }
   void on_cancel(std::uint64_t request, const std::string& id) { jobs_.on_cancel(request, id); }
   void on_report(std::uint64_t request, const Report& report) { fleet_.on_report(request, report); }
-  void on_state(std::uint64_t call, const StateAnswer& answer) { cluster_.store.on_answer(call, answer); }
+  void on_state(std::uint64_t call, const StateAnswer& answer) { state_.store.on_answer(call, answer); }
   void on_cloud(std::uint64_t call, const CloudAnswer& answer) { renter_.on_answer(call, answer); }
   void on_orders(std::uint64_t call, const OrdersAnswer& answer) { fleet_.on_orders_answer(call, answer); }
   void on_admin(std::uint64_t request, const AdminRequest& asked);
@@ -41,30 +41,30 @@
   /// began, what it was about to say to users may be out of date.
   std::vector<Action> take_actions(Micros steady);
 
-  const Cluster& cluster() const { return cluster_; }
+  const ControllerState& state() const { return state_; }
   const ContractNet& net() const { return net_; }
 
  private:
-  void load(Part& part);
+  void load(Shard& shard);
   /// `asked`: when the records were asked for.
-  void loaded(Part& part, Micros asked, const std::vector<StateRow>& live,
+  void loaded(Shard& shard, Micros asked, const std::vector<StateRow>& live,
               const std::vector<StateRow>& claims, const std::vector<StateRow>& awards,
               const std::vector<StateRow>& done);
-  void make_room_record(Part& part);
+  void make_room_record(Shard& shard);
   void read_policy();
   void change_policy(std::uint64_t request, const Value& fields);
-  void schedule(Part& part);
+  void schedule(Shard& shard);
 
   Context context_;
-  Cluster cluster_;
+  ControllerState state_;
   Fleet fleet_;
   Scheduler scheduler_;
   ContractNet net_;
   Jobs jobs_;
   Renter renter_;
-  Holdings holdings_;
+  ShardLeases shard_leases_;
   Micros next_policy_{0};
-  Micros next_look_{0};
+  Micros next_scheduling_{0};
 };
 
 }  // namespace bendtide
--- a/src/core/fleet.cpp
+++ b/src/core/fleet.cpp
@@ -11,67 +11,67 @@
 
 }  // namespace
 
-Fleet::Fleet(Cluster& cluster, Hooks hooks)
-    : cluster_(cluster),
+Fleet::Fleet(ControllerState& state, Hooks hooks)
+    : state_(state),
       hooks_(std::move(hooks)),
-      claims_(cluster, {[this](Part& p, const Machine& m, bool settled) { add(p, m, settled); },
-                        [this] { resume_deferred(); }, hooks_.doubt_holdings}) {}
+      claims_(state, {[this](Shard& p, const Machine& m, bool settled) { add(p, m, settled); },
+                      [this] { resume_deferred(); }, hooks_.invalidate_leases}) {}
 void Fleet::answer(std::uint64_t request, int status, std::string redirect) {
-  if (!redirect.empty()) ++cluster_.passed_on[redirect];
-  cluster_.context.act(AnswerWorker{request, {status, 0, {}, std::move(redirect)}});
+  if (!redirect.empty()) ++state_.redirected_heartbeats[redirect];
+  state_.context.act(AnswerWorker{request, {status, 0, {}, std::move(redirect)}});
 }
 
 void Fleet::on_report(std::uint64_t request, const Report& report) {
-  route_report(request, report, cluster_.now());
+  route_report(request, report, state_.now());
 }
 
 void Fleet::route_report(std::uint64_t request, const Report& report, Micros since) {
-  if (!cluster_.acting()) return answer(request, 503);
-  const std::string* name = claims_.part_of(report.machine);
+  if (!state_.lease_valid()) return answer(request, 503);
+  const std::string* name = claims_.shard_of(report.machine);
   if (name == nullptr) return on_unclaimed(request, report, since);
-  if (Part* part = cluster_.held(*name)) {
-    if (part->ready()) return on_own_report(request, *part, report);
+  if (Shard* shard = state_.held_shard(*name)) {
+    if (shard->ready()) return on_own_report(request, *shard, report);
     return defer(request, report, since);  // the part is being loaded
   }
-  const std::string holder = cluster_.holder(*name);
-  if (holder == cluster_.self()) return answer(request, 503);
+  const std::string leader_of = state_.leader_of(*name);
+  if (leader_of == state_.self()) return answer(request, 503);
   // A holder that stands still would keep the worker waiting for longer than its lease lasts. It does better
   // to wait here for a moment, until somebody has taken over the part.
-  const bool just_came = cluster_.now() - since < kDeferFor;
-  if (!cluster_.reachable(holder) && just_came) return defer(request, report, since);
-  answer(request, 421, holder);
+  const bool just_came = state_.now() - since < kDeferFor;
+  if (!state_.reachable(leader_of) && just_came) return defer(request, report, since);
+  answer(request, 421, leader_of);
 }
 
 void Fleet::defer(std::uint64_t request, const Report& report, Micros since) {
   // Each holds a socket, so that there can't be more of them.
-  if (deferred_.size() >= cluster_.context.settings.sockets) return answer(request, 503);
+  if (deferred_.size() >= state_.context.settings.sockets) return answer(request, 503);
   deferred_.push_back({request, report, since});
 }
 
 void Fleet::on_unclaimed(std::uint64_t request, const Report& report, Micros since) {
   // Only the holder of its home part claims a machine; everybody else need not read anything.
-  const std::string home = claims_.home_part(report.machine, report.zone);
-  Part* part = cluster_.held(home);
-  if (part == nullptr) {
-    const std::string holder = cluster_.holder(home);
-    return holder == cluster_.self() ? answer(request, 503) : answer(request, 421, holder);
+  const std::string home = claims_.home_shard(report.machine, report.zone);
+  Shard* shard = state_.held_shard(home);
+  if (shard == nullptr) {
+    const std::string leader_of = state_.leader_of(home);
+    return leader_of == state_.self() ? answer(request, 503) : answer(request, 421, leader_of);
   }
-  if (!part->ready() || deleted_.contains(report.machine)) return answer(request, 503);
+  if (!shard->ready() || deleted_.contains(report.machine)) return answer(request, 503);
   defer(request, report, since);
   // A machine that nobody claimed was never given a token: this one was claimed by somebody, or deleted.
-  if (report.token != 0) return claims_.doubt();
-  claims_.want(*part, machine_of({report.machine, report.type, report.zone, report.spot, report.address,
-                                  cluster_.context.wall}));
+  if (report.fencing_token != 0) return claims_.doubt();
+  claims_.want(*shard, machine_of({report.machine, report.type, report.zone, report.spot, report.address,
+                                   state_.context.wall}));
 }
 
-Machine& Fleet::add(Part& part, const Machine& machine, bool settled) {
-  auto [it, fresh] = part.machines.try_emplace(machine.name, machine);
+Machine& Fleet::add(Shard& shard, const Machine& machine, bool settled) {
+  auto [it, fresh] = shard.machines.try_emplace(machine.name, machine);
   Machine& m = it->second;
   if (fresh) {
-    if (const MachineType* type = cluster_.type(m.type)) m.size = type->size;
-    m.last_heard = m.last_reported = m.last_answered = m.idle_since = cluster_.now();
+    if (const MachineType* type = state_.machine_type(m.type)) m.size = type->size;
+    m.last_heard = m.last_reported = m.last_answered = m.idle_since = state_.now();
     m.settled = settled;
-    part.count_usage(m, 1);
+    shard.count_usage(m, 1);
   }
   return m;
 }
@@ -80,26 +80,26 @@
   std::vector<Deferred> again;
   std::swap(again, deferred_);
   for (Deferred& d : again) {
-    if (claims_.part_of(d.report.machine) != nullptr)
+    if (claims_.shard_of(d.report.machine) != nullptr)
       route_report(d.request, d.report, d.since);
     else
       deferred_.push_back(std::move(d));
   }
 }
 
-void Fleet::on_part_ready(Part& part) {
-  for (auto& [name, m] : part.machines)
-    if (!m.settled) part.push_to(m);
+void Fleet::on_shard_ready(Shard& shard) {
+  for (auto& [name, m] : shard.machines)
+    if (!m.settled) shard.push_to(m);
   resume_deferred();
 }
 
-void Fleet::gone(Part& part, const std::string& name) {
-  auto it = part.machines.find(name);
-  if (it == part.machines.end()) return;
-  release_all(part, it->second);
-  part.count_usage(it->second, -1);
-  claims_.forget(part, it->second);
-  part.machines.erase(it);
+void Fleet::gone(Shard& shard, const std::string& name) {
+  auto it = shard.machines.find(name);
+  if (it == shard.machines.end()) return;
+  release_all(shard, it->second);
+  shard.count_usage(it->second, -1);
+  claims_.forget(shard, it->second);
+  shard.machines.erase(it);
   deleted_.insert(name);
   deleted_order_.push_back(name);
   while (deleted_order_.size() > kRememberedDeleted) {
@@ -110,7 +110,7 @@
 
 /// The worker keeps the images used last, as many as fit.
 void Fleet::trim_images(Machine& m) const {
-  const MachineType* type = cluster_.type(m.type);
+  const MachineType* type = state_.machine_type(m.type);
   if (type == nullptr) return;
   double total = 0;
   for (const auto& [name, image] : m.images) total += image.gb;
@@ -124,7 +124,7 @@
 }
 
 void Fleet::tick() {
-  const Micros now = cluster_.now();
+  const Micros now = state_.now();
   resume_deferred();
   std::erase_if(deferred_, [&](const Deferred& d) {
     if (now - d.since < kDeferFor) return false;
@@ -132,17 +132,17 @@
     return true;
   });
   claims_.tick();
-  if (!cluster_.acting()) return;
-  for (auto& [name, part] : cluster_.parts) {
-    if (!part.ready()) continue;
-    if (now < part.next_watch) continue;
-    part.next_watch = now + kWatchEvery;
-    watch(part);
-    if (part.unsettled_jobs && part.all_settled()) {
-      part.unsettled_jobs = false;
-      cluster_.context.info("part " + name + " knows what is on its machines");
-      for (auto& [id, job] : part.jobs) job.unsettled = false;
-      part.changed();
+  if (!state_.lease_valid()) return;
+  for (auto& [name, shard] : state_.shards) {
+    if (!shard.ready()) continue;
+    if (now < shard.next_watch) continue;
+    shard.next_watch = now + kWatchEvery;
+    watch(shard);
+    if (shard.unsettled_jobs && shard.all_settled()) {
+      shard.unsettled_jobs = false;
+      state_.context.info("part " + name + " knows what is on its machines");
+      for (auto& [id, job] : shard.jobs) job.unsettled = false;
+      shard.changed();
     }
   }
 }
--- a/src/core/fleet.h
+++ b/src/core/fleet.h
@@ -8,31 +8,31 @@
 class Fleet {
  public:
   struct Hooks {
-    std::function<void(Part&, Machine&)> fill;  ///< place on it what waits and fits
-    std::function<void()> doubt_holdings;
+    std::function<void(Shard&, Machine&)> fill;  ///< place on it what waits and fits
+    std::function<void()> invalidate_leases;
   };
 
-  Fleet(Cluster& cluster, Hooks hooks);
+  Fleet(ControllerState& state, Hooks hooks);
 
   void tick();
   void on_report(std::uint64_t request, const Report& report);
   void on_orders_answer(std::uint64_t call, const OrdersAnswer& answer);
-  void on_part_ready(Part& part);
+  void on_shard_ready(Shard& shard);
   /// What the holder of a part knows of its machines that are silent, for the next one.
-  std::vector<SilentMachine> silent(const Part& part) const;
+  std::vector<UnreachableMachine> unreachable_machines(const Shard& shard) const;
   /// The last holder's word on machines that we may never hear.
-  void recall(Part& part);
-  void on_part_dropped(const std::string& part) { claims_.on_part_dropped(part); }
+  void restore_unreachable_machines(Shard& shard);
+  void on_shard_lost(const std::string& shard) { claims_.on_shard_lost(shard); }
 
   /// Whether a worker can be reached: no order has token and session 0, and it says what it holds.
   void probe(const std::string& address, std::function<void(bool)> done);
   /// Sends the orders that should not wait for the next report.
-  void push_orders(Part& part);
+  void push_orders(Shard& shard);
   /// The machine and everything on it are gone.
-  void gone(Part& part, const std::string& machine);
+  void gone(Shard& shard, const std::string& machine);
 
   /// Settled: nothing unknown can be on it.
-  Machine& add(Part& part, const Machine& machine, bool settled);
+  Machine& add(Shard& shard, const Machine& machine, bool settled);
   bool usable(const Machine& m) const;
   bool booting(const Machine& m) const;
   Claims& claims() { return claims_; }
@@ -44,10 +44,10 @@
     Micros since;
   };
   struct Direct {
-    std::string part;
-    std::uint64_t generation;
+    std::string shard;
+    std::uint64_t leadership_term;
     std::string machine;
-    std::uint64_t token;
+    std::uint64_t fencing_token;
     Micros sent_at;
     std::vector<AttemptId> starts;
   };
@@ -56,43 +56,43 @@
   /// Answers a report, or keeps it for later; `since`: when it came.
   void route_report(std::uint64_t request, const Report& report, Micros since);
   void defer(std::uint64_t request, const Report& report, Micros since);
-  void on_own_report(std::uint64_t request, Part& part, const Report& report);
-  void apply(Part& part, Machine& m, const Report& report, bool is_report);
-  bool believable(const Part& part, const Report& report) const;
+  void on_own_report(std::uint64_t request, Shard& shard, const Report& report);
+  void apply(Shard& shard, Machine& m, const Report& report, bool is_report);
+  bool believable(const Shard& shard, const Report& report) const;
   bool was_sent_after(Micros ours) const;
-  void note_lost_orders(Part& part, Machine& m);
+  void note_lost_orders(Shard& shard, Machine& m);
   static void clear_unreachable_signs(Machine& m);
-  void add_unreachable_sign(Part& part, Machine& m, int weight);
-  void note(Part& part, Machine& m, const ReportedTask& seen, std::uint64_t account);
-  void ended(Part& part, Machine& m, const AttemptId& id, Placement& p, ExitCause cause);
-  void failed(Part& part, Machine& m, Job& job);
-  void release(Part& part, Machine& m, const AttemptId& id);
-  void release_all(Part& part, Machine& m);
-  std::vector<Order> orders(Part& part, Machine& m, std::uint64_t in_report);
-  bool may_send_start(Part& part, Job* job, const AttemptId& id);
-  void log_orders(const Part& part, const Machine& m, const std::vector<Order>& sent,
+  void add_unreachable_sign(Shard& shard, Machine& m, int weight);
+  void note(Shard& shard, Machine& m, const ReportedTask& seen, std::uint64_t account);
+  void ended(Shard& shard, Machine& m, const AttemptId& id, Placement& p, ExitCause cause);
+  void failed(Shard& shard, Machine& m, Job& job);
+  void release(Shard& shard, Machine& m, const AttemptId& id);
+  void release_all(Shard& shard, Machine& m);
+  std::vector<Order> orders(Shard& shard, Machine& m, std::uint64_t in_report);
+  bool may_send_start(Shard& shard, Job* job, const AttemptId& id);
+  void log_orders(const Shard& shard, const Machine& m, const std::vector<Order>& sent,
                   const std::string& how) const;
-  std::vector<Order> stops_for_unknown_tasks(const Part& part, const Report& report) const;
-  Micros time_to_save(const Part& part, const Job& job) const;
+  std::vector<Order> stops_for_unknown_tasks(const Shard& shard, const Report& report) const;
+  Micros time_to_save(const Shard& shard, const Job& job) const;
   void begin_session(Machine& m, std::uint64_t session);
   bool urgent(const Machine& m) const;
   std::size_t most_direct_calls() const;
-  void watch(Part& part);
-  void watch_zones(Part& part, Micros late);
+  void watch(Shard& shard);
+  void watch_zones(Shard& shard, Micros late);
   void trim_images(Machine& m) const;
   void resume_deferred();
   void answer(std::uint64_t request, int status, std::string redirect = {});
 
   /// That many signs in a row show that nothing reaches a machine. One answer may always come too late.
   static constexpr int kUnreachableSigns = 3;
-  static constexpr int kWeakSign = 1;         ///< one message seems not to have reached it
-  static constexpr int kStrongSign = 2;       ///< several can't have
-  static constexpr std::size_t kTold = 1500;  ///< tasks in a word to the next holder
+  static constexpr int kWeakSign = 1;                      ///< one message seems not to have reached it
+  static constexpr int kStrongSign = 2;                    ///< several can't have
+  static constexpr std::size_t kHandoverTaskLimit = 1500;  ///< tasks in a word to the next holder
   static constexpr std::size_t kFailedOn = 8;
   static constexpr std::size_t kRememberedDeleted = 4096;
   static constexpr std::size_t kOrders = 200;  ///< in one message: far below a line of 64 KiB
 
-  Cluster& cluster_;
+  ControllerState& state_;
   Hooks hooks_;
   Claims claims_;
   std::vector<Deferred> deferred_;  ///< reports that wait for a claim or for the part
--- a/src/core/fleet_commands.cpp
+++ b/src/core/fleet_commands.cpp
@@ -3,11 +3,11 @@
 
 namespace bendtide {
 
-std::vector<Order> Fleet::orders(Part& part, Machine& m, std::uint64_t in_report) {
+std::vector<Order> Fleet::orders(Shard& shard, Machine& m, std::uint64_t in_report) {
   std::vector<Order> forgets, stops, starts;
   for (auto& [id, p] : m.tasks) {
-    auto it = part.jobs.find(id.task.job);
-    Job* job = it == part.jobs.end() || id.task.index >= it->second.tasks.size() ? nullptr : &it->second;
+    auto it = shard.jobs.find(id.task.job);
+    Job* job = it == shard.jobs.end() || id.task.index >= it->second.tasks.size() ? nullptr : &it->second;
     if (p.seen == Placement::Seen::ended) {
       // Until its end is recorded, the worker's account is the only one of a finished task. And an attempt
       // that a late direct start may still name must stay known to the worker, or it would run again.
@@ -17,11 +17,11 @@
         forgets.push_back({Order::Kind::forget, id.task, id.attempt, {}});
     } else if (!p.wanted) {
       if (p.seen == Placement::Seen::no) continue;
-      const Micros grace = job == nullptr ? Micros{0} : time_to_save(part, *job);
-      if (p.stop_since == Micros{0}) p.stop_since = cluster_.now();
+      const Micros grace = job == nullptr ? Micros{0} : time_to_save(shard, *job);
+      if (p.stop_since == Micros{0}) p.stop_since = state_.now();
       stops.push_back({Order::Kind::stop, id.task, id.attempt, grace});
     } else if (p.seen == Placement::Seen::no && p.direct_in_flight == 0 && starts.size() < kOrders / 2) {
-      if (!may_send_start(part, job, id)) continue;
+      if (!may_send_start(shard, job, id)) continue;
       starts.push_back({Order::Kind::start, id.task, id.attempt, {}});
       if (in_report != 0) p.offered_in = in_report;
     }
@@ -37,31 +37,32 @@
 /// While the last write of a job is under way, its user may have been told already by a peer that read it.
 /// And an award that was last read too long ago may have been taken back: direct commands once went out for
 /// it as an outage ended, before anything else had looked.
-bool Fleet::may_send_start(Part& part, Job* job, const AttemptId& id) {
-  if (job == nullptr || job->ended || job->finalizing || part.in_doubt(*job, cluster_.now())) return false;
-  if (!cluster_.history.is_over(id.task.job)) return true;
-  cluster_.context.violated(Invariant::finished_job_stays_off,
-                            id.task.job + "/" + std::to_string(id.task.index) + " attempt " +
-                                std::to_string(id.attempt) + " was to be started by part " + part.name +
-                                " under token " + std::to_string(part.token) + ", but its job is over");
-  part.end(*job);
+bool Fleet::may_send_start(Shard& shard, Job* job, const AttemptId& id) {
+  if (job == nullptr || job->ended || job->finalizing || shard.in_doubt(*job, state_.now())) return false;
+  if (!state_.final_states.has_ended(id.task.job)) return true;
+  state_.context.violated(Invariant::finished_job_stays_off,
+                          id.task.job + "/" + std::to_string(id.task.index) + " attempt " +
+                              std::to_string(id.attempt) + " was to be started by part " + shard.name +
+                              " under token " + std::to_string(shard.fencing_token) +
+                              ", but its job is over");
+  shard.end(*job);
   return false;
 }
 
 /// One line for each order, with all that its right rests on.
-void Fleet::log_orders(const Part& part, const Machine& m, const std::vector<Order>& sent,
+void Fleet::log_orders(const Shard& shard, const Machine& m, const std::vector<Order>& sent,
                        const std::string& how) const {
-  if (!cluster_.context.debugging) return;
+  if (!state_.context.debugging) return;
   const std::string right = " on " + m.name + " " + how + ", session " + std::to_string(m.session) +
-                            ", by part " + part.name + " under token " + std::to_string(part.token);
+                            ", by part " + shard.name + " under token " + std::to_string(shard.fencing_token);
   for (const Order& order : sent) {
-    const auto job = part.jobs.find(order.task.job);
-    const bool over = job == part.jobs.end() || job->second.ended;
+    const auto job = shard.jobs.find(order.task.job);
+    const bool over = job == shard.jobs.end() || job->second.ended;
     const char* what = order.kind == Order::Kind::start  ? "start"
                        : order.kind == Order::Kind::stop ? "stop"
                        : over                            ? "forget (its job is over)"
                                                          : "forget (its end is recorded)";
-    cluster_.context.debug([&] {
+    state_.context.debug([&] {
       return order.task.job + "/" + std::to_string(order.task.index) + " attempt " +
              std::to_string(order.attempt) + ": " + what + right;
     });
@@ -70,12 +71,11 @@
 
 /// A task that is told to stop may save, unless its job may be cancelled: then it has to be gone in time even
 /// if its machine hangs while it saves.
-Micros Fleet::time_to_save(const Part& part, const Job& job) const {
-  const Settings& s = cluster_.context.settings;
+Micros Fleet::time_to_save(const Shard& shard, const Job& job) const {
+  const Settings& s = state_.context.settings;
   if (job.ended || job.spec.checkpoint.count() == 0) return {};
   const Micros at_most = surely_over(std::max(s.worker_lease, job.spec.save));
-  const bool in_time =
-      job.owner.empty() || cluster_.now() + at_most <= part.awards_known_at + s.cancel_within;
+  const bool in_time = job.owner.empty() || state_.now() + at_most <= shard.awards_known_at + s.cancel_within;
   return in_time ? job.spec.save : Micros{0};
 }
 
@@ -92,51 +92,51 @@
 /// Calls to machines that can't be reached last until they time out, and with hundreds of these the others'
 /// would wait for them; each takes a socket.
 std::size_t Fleet::most_direct_calls() const {
-  return std::max<std::size_t>(16, cluster_.context.settings.sockets / 12);
+  return std::max<std::size_t>(16, state_.context.settings.sockets / 12);
 }
 
-void Fleet::push_orders(Part& part) {
-  const Micros now = cluster_.now();
+void Fleet::push_orders(Shard& shard) {
+  const Micros now = state_.now();
   std::vector<std::string> names;
-  std::swap(names, part.push);
+  std::swap(names, shard.push);
   for (std::string& name : names) {
-    auto it = part.machines.find(name);
-    if (it == part.machines.end()) continue;
+    auto it = shard.machines.find(name);
+    if (it == shard.machines.end()) continue;
     Machine& m = it->second;
     if (direct_.size() >= most_direct_calls()) {
-      part.push.push_back(std::move(name));
+      shard.push.push_back(std::move(name));
       continue;
     }
     m.push_due = false;
     // A machine that is silent gets its orders with the answer to its next report.
     if (m.direct_call || m.lost || m.condemned || m.address.empty() || !urgent(m) ||
-        (m.settled && now - m.last_heard > cluster_.context.settings.report_every * 3 / 2))
+        (m.settled && now - m.last_heard > state_.context.settings.report_every * 3 / 2))
       continue;
     // Before all that is on it is known, it is only shown the token. Its first session is number 1.
-    std::vector<Order> list = m.settled ? orders(part, m, 0) : std::vector<Order>{};
-    Direct call{part.name, part.generation, name, part.token, now, {}};
+    std::vector<Order> list = m.settled ? orders(shard, m, 0) : std::vector<Order>{};
+    Direct call{shard.name, shard.leadership_term, name, shard.fencing_token, now, {}};
     for (const Order& o : list) {
       if (o.kind != Order::Kind::start) continue;
       AttemptId id{o.task, o.attempt};
       call.starts.push_back(id);
       Placement& p = m.tasks.at(id);
       ++p.direct_in_flight;
-      p.direct_token = part.token;
+      p.pushed_token = shard.fencing_token;
     }
-    log_orders(part, m, list, "directly");
+    log_orders(shard, m, list, "directly");
     m.direct_call = true;
     m.told_at = m.told_at.value_or(now);
     std::uint64_t id = next_direct_++;
     direct_.emplace(id, std::move(call));
-    cluster_.context.act(
-        WorkerCall{id, {m.address, std::max<std::uint64_t>(m.session, 1), part.token, std::move(list)}});
+    state_.context.act(WorkerCall{
+        id, {m.address, std::max<std::uint64_t>(m.session, 1), shard.fencing_token, std::move(list)}});
   }
 }
 
 void Fleet::probe(const std::string& address, std::function<void(bool)> done) {
   const std::uint64_t id = next_direct_++;
   probes_.emplace(id, std::move(done));
-  cluster_.context.act(WorkerCall{id, {address, 0, 0, {}}});
+  state_.context.act(WorkerCall{id, {address, 0, 0, {}}});
 }
 
 void Fleet::on_orders_answer(std::uint64_t call, const OrdersAnswer& answer) {
@@ -149,10 +149,10 @@
   if (it == direct_.end()) return;
   Direct direct = std::move(it->second);
   direct_.erase(it);
-  Part* part = cluster_.known(direct.part, direct.generation);
-  if (part == nullptr) return;
-  auto found = part->machines.find(direct.machine);
-  if (found == part->machines.end()) return;
+  Shard* shard = state_.shard_in_term(direct.shard, direct.leadership_term);
+  if (shard == nullptr) return;
+  auto found = shard->machines.find(direct.machine);
+  if (found == shard->machines.end()) return;
   Machine& m = found->second;
   m.direct_call = false;
   for (const AttemptId& id : direct.starts) {
@@ -162,26 +162,27 @@
     if (answer.outcome == OrdersAnswer::Outcome::lost) {
       // It may be executed at any later time under this token: raise it, and wait for the worker to show
       // that.
-      p->second.pinned_by = std::max(p->second.pinned_by, direct.token);
-      part->token_wanted = true;
+      p->second.pinned_by = std::max(p->second.pinned_by, direct.fencing_token);
+      shard->advance_token_soon = true;
     }
   }
   if (answer.outcome == OrdersAnswer::Outcome::lost) {
     m.order_lost = m.settled;
     if (m.told_at == direct.sent_at) m.told_at.reset();
   }
-  if (answer.report && answer.report->machine == m.name && answer.report->token <= part->token) {
+  if (answer.report && answer.report->machine == m.name &&
+      answer.report->fencing_token <= shard->fencing_token) {
     if (!m.settled && answer.outcome == OrdersAnswer::Outcome::refused) {
       // It is shown the token once more.
       if (answer.report->session > m.session) begin_session(m, answer.report->session);
-    } else if (believable(*part, *answer.report) &&
+    } else if (believable(*shard, *answer.report) &&
                std::pair(answer.report->session, answer.report->sequence) >
                    std::pair(m.session, m.sequence)) {
-      apply(*part, m, *answer.report, false);
+      apply(*shard, m, *answer.report, false);
     }
     clear_unreachable_signs(m);  // executed or refused, the order was read there
   }
-  if (answer.outcome != OrdersAnswer::Outcome::lost && urgent(m)) part->push_to(m);
+  if (answer.outcome != OrdersAnswer::Outcome::lost && urgent(m)) shard->push_to(m);
 }
 
 }  // namespace bendtide
--- a/src/core/fleet_reports.cpp
+++ b/src/core/fleet_reports.cpp
@@ -21,15 +21,15 @@
 
 }  // namespace
 
-void Fleet::on_own_report(std::uint64_t request, Part& part, const Report& report) {
-  if (report.token > part.token) {
+void Fleet::on_own_report(std::uint64_t request, Shard& shard, const Report& report) {
+  if (report.fencing_token > shard.fencing_token) {
     // Somebody was given a higher token: either we are superseded, or the machine came from elsewhere.
-    hooks_.doubt_holdings();
-    part.token_wanted = true;
+    hooks_.invalidate_leases();
+    shard.advance_token_soon = true;
     return answer(request, 503);
   }
-  auto it = part.machines.find(report.machine);
-  if (it == part.machines.end()) {
+  auto it = shard.machines.find(report.machine);
+  if (it == shard.machines.end()) {
     // The machine was deleted, yet it reports: a message from before its end.
     return answer(request, 503);
   }
@@ -38,50 +38,50 @@
   // for the answer. It renews nothing.
   if (report.session < m.session || (report.session == m.session && report.sequence <= m.reported_sequence))
     return answer(request, 503);
-  m.last_reported = cluster_.now();
-  note_lost_orders(part, m);
-  if (!believable(part, report) && m.told_at && was_sent_after(*m.told_at)) {
-    add_unreachable_sign(part, m, kStrongSign);
+  m.last_reported = state_.now();
+  note_lost_orders(shard, m);
+  if (!believable(shard, report) && m.told_at && was_sent_after(*m.told_at)) {
+    add_unreachable_sign(shard, m, kStrongSign);
     m.told_at = m.last_reported;
   }
   // Nothing reaches it, so an answer would renew nothing; but the proof by its lease would wait for one that
   // did.
   if (m.unreachable_signs >= kUnreachableSigns) return answer(request, 503);
-  m.told_at = m.told_at.value_or(cluster_.now());
-  const Micros answered_before = std::exchange(m.last_answered, cluster_.now());
-  ReportReply reply{200, part.token, {}, {}};
-  if (believable(part, report) &&
+  m.told_at = m.told_at.value_or(state_.now());
+  const Micros answered_before = std::exchange(m.last_answered, state_.now());
+  ReportReply reply{200, shard.fencing_token, {}, {}};
+  if (believable(shard, report) &&
       std::pair(report.session, report.sequence) > std::pair(m.session, m.sequence)) {
     const bool lease_ran_out = report.session > m.session && m.heard && !m.lost;
-    const Micros since_answer = cluster_.now() - answered_before;
+    const Micros since_answer = state_.now() - answered_before;
     if (lease_ran_out && was_sent_after(answered_before) &&
-        since_answer < cluster_.context.settings.worker_lease * 3 / 4)
-      add_unreachable_sign(part, m, kStrongSign);
-    apply(part, m, report, true);
+        since_answer < state_.context.settings.worker_lease * 3 / 4)
+      add_unreachable_sign(shard, m, kStrongSign);
+    apply(shard, m, report, true);
     m.reported_sequence = report.sequence;
-    hooks_.fill(part, m);
-    reply.orders = orders(part, m, report.sequence);
+    hooks_.fill(shard, m);
+    reply.orders = orders(shard, m, report.sequence);
     m.answered_in = report.sequence;
-    m.answered_token = part.token;
-    m.orders_sent_at = cluster_.now();
+    m.last_reply_token = shard.fencing_token;
+    m.orders_sent_at = state_.now();
   } else {
-    reply.orders = stops_for_unknown_tasks(part, report);
+    reply.orders = stops_for_unknown_tasks(shard, report);
     if (!m.settled) {
       m.address = report.address;
-      part.push_to(m);
+      shard.push_to(m);
     }
   }
-  log_orders(part, m, reply.orders, "with the answer to report " + std::to_string(report.sequence));
-  cluster_.context.act(AnswerWorker{request, std::move(reply)});
+  log_orders(shard, m, reply.orders, "with the answer to report " + std::to_string(report.sequence));
+  state_.context.act(AnswerWorker{request, std::move(reply)});
 }
 
 /// Stops for the tasks of jobs that this part does not have: they are over. True of any account, however old,
 /// and said with every answer, as each renews the lease: holders that follow one another within seconds would
 /// else keep the tasks of a cancelled job alive.
-std::vector<Order> Fleet::stops_for_unknown_tasks(const Part& part, const Report& report) const {
+std::vector<Order> Fleet::stops_for_unknown_tasks(const Shard& shard, const Report& report) const {
   std::vector<Order> out;
   for (const ReportedTask& t : report.tasks)
-    if (t.phase != TaskPhase::exited && !part.jobs.contains(t.task.job) && out.size() < kOrders / 2)
+    if (t.phase != TaskPhase::exited && !shard.jobs.contains(t.task.job) && out.size() < kOrders / 2)
       out.push_back({Order::Kind::stop, t.task, t.attempt, {}});
   return out;
 }
@@ -92,20 +92,20 @@
 void Fleet::begin_session(Machine& m, std::uint64_t session) {
   m.session = session;
   m.sequence = m.reported_sequence = m.answered_in = 0;
-  m.last_answered = cluster_.now();
+  m.last_answered = state_.now();
 }
 
 /// An account that shows no token of this holding may be a late copy from before it, by any time: it may be
 /// answered, so that the worker learns the token, but nothing it says is believed.
-bool Fleet::believable(const Part& part, const Report& report) const {
-  return report.token >= part.first_token;
+bool Fleet::believable(const Shard& shard, const Report& report) const {
+  return report.fencing_token >= shard.first_fencing_token;
 }
 
-void Fleet::apply(Part& part, Machine& m, const Report& report, bool is_report) {
-  const Micros now = cluster_.now();
+void Fleet::apply(Shard& shard, Machine& m, const Report& report, bool is_report) {
+  const Micros now = state_.now();
   if (report.session > m.session) {
     // A new session begins with an empty machine.
-    release_all(part, m);
+    release_all(shard, m);
     begin_session(m, report.session);
   }
   // Lost, and yet there: it began the session that we expected at some moment unknown.
@@ -113,27 +113,27 @@
   m.sequence = report.sequence;
   m.address = report.address;
   if (!m.heard || m.lost) {
-    part.changed();
+    shard.changed();
     m.idle_since = now;  // it could do nothing before
   }
-  if (!m.heard && !m.in_use) claims_.came_up(part, m);
+  if (!m.heard && !m.in_use) claims_.came_up(shard, m);
   m.heard = true;
   m.lost = false;
   m.last_heard = now;
   if (report.notice) {
-    if (!m.notice_until) cluster_.context.info("machine " + m.name + " will be taken by the cloud");
+    if (!m.notice_until) state_.context.info("machine " + m.name + " will be taken by the cloud");
     m.notice_until = now + *report.notice;
   }
-  for (const ReportedTask& t : report.tasks) note(part, m, t, report.sequence);
+  for (const ReportedTask& t : report.tasks) note(shard, m, t, report.sequence);
 
-  if (report.token > m.shown_token) clear_unreachable_signs(m);  // something reaches it
-  bool asked = m.answered_in != 0 && m.answered_token > m.shown_token;
-  bool heeded = report.token >= m.answered_token;
-  m.shown_token = report.token;
+  if (report.fencing_token > m.acknowledged_token) clear_unreachable_signs(m);  // something reaches it
+  bool asked = m.answered_in != 0 && m.last_reply_token > m.acknowledged_token;
+  bool heeded = report.fencing_token >= m.last_reply_token;
+  m.acknowledged_token = report.fencing_token;
   std::vector<AttemptId> off;
   for (auto& [id, p] : m.tasks) {
     // From here on, a start sent under an older token is refused.
-    if (p.pinned_by != 0 && report.token > p.pinned_by) p.pinned_by = 0;
+    if (p.pinned_by != 0 && report.fencing_token > p.pinned_by) p.pinned_by = 0;
     const bool listed = p.listed_in == report.sequence;
     if (m.answered_in != 0 && p.offered_in == m.answered_in && (listed || p.seen == Placement::Seen::no)) {
       asked = true;
@@ -146,28 +146,28 @@
     const bool never_took_effect = !p.wanted && p.offered_in < report.sequence;
     if (was_there || never_took_effect) off.push_back(id);
   }
-  for (const AttemptId& id : off) release(part, m, id);
+  for (const AttemptId& id : off) release(shard, m, id);
   if (is_report && asked) {
     if (heeded)
       clear_unreachable_signs(m);
     else if (was_sent_after(m.orders_sent_at))
-      add_unreachable_sign(part, m, kWeakSign);
+      add_unreachable_sign(shard, m, kWeakSign);
     m.answered_in = 0;
   }
-  part.settle(m, true);
+  shard.settle(m, true);
   if (!m.idle()) m.idle_since = now;
 }
 
-void Fleet::note(Part& part, Machine& m, const ReportedTask& t, std::uint64_t account) {
+void Fleet::note(Shard& shard, Machine& m, const ReportedTask& t, std::uint64_t account) {
   const AttemptId id{t.task, t.attempt};
-  auto job_it = part.jobs.find(t.task.job);
-  Job* job = job_it == part.jobs.end() ? nullptr : &job_it->second;
+  auto job_it = shard.jobs.find(t.task.job);
+  Job* job = job_it == shard.jobs.end() ? nullptr : &job_it->second;
   if (job != nullptr && t.task.index >= job->tasks.size()) job = nullptr;
   auto it = m.tasks.find(id);
   if (it == m.tasks.end()) {
     // Started by an earlier holder, or found late: it is ours to keep if the task is still to be done.
-    Placement& p = part.place(m, id, job);
-    p.placed_at = cluster_.now();
+    Placement& p = shard.place(m, id, job);
+    p.placed_at = state_.now();
     bool keep = false;
     if (job != nullptr && !job->ended && t.phase != TaskPhase::exited &&
         job->tasks[t.task.index].state == Task::State::waiting) {
@@ -175,41 +175,41 @@
       job->leave_waiting(t.task.index, {Task::State::placed, &m, t.attempt});
       keep = t.phase != TaskPhase::saving;
     }
-    part.change(m, id, p, [&](Placement& q) { q.wanted = keep; });
+    shard.change(m, id, p, [&](Placement& q) { q.wanted = keep; });
     it = m.tasks.find(id);
   }
   Placement& p = it->second;
   p.listed_in = account;
   if (!p.of_known_job && job != nullptr)
-    part.change(m, id, p, [&](Placement& q) { part.identify(q, m, job); });
+    shard.change(m, id, p, [&](Placement& q) { shard.identify(q, m, job); });
   const Placement::Seen before = p.seen, seen = seen_as(t.phase);
   if (seen == before) return;
-  part.change(m, id, p, [&](Placement& q) { q.seen = seen; });
+  shard.change(m, id, p, [&](Placement& q) { q.seen = seen; });
   if (seen == Placement::Seen::running) {
-    p.running_since = cluster_.now();
+    p.running_since = state_.now();
     if (job != nullptr && job->spec.shape == Shape::array) p.ends_at = p.running_since + job->spec.estimate;
-    if (!p.image.empty()) m.images[p.image] = {cluster_.now(), p.image_gb};
+    if (!p.image.empty()) m.images[p.image] = {state_.now(), p.image_gb};
   }
-  if (seen == Placement::Seen::ended) ended(part, m, id, p, t.cause);
+  if (seen == Placement::Seen::ended) ended(shard, m, id, p, t.cause);
 }
 
-void Fleet::ended(Part& part, Machine& m, const AttemptId& id, Placement& p, ExitCause cause) {
+void Fleet::ended(Shard& shard, Machine& m, const AttemptId& id, Placement& p, ExitCause cause) {
   p.cause = cause;
   const bool wanted = std::exchange(p.wanted, false);  // an ended task is in no sum
-  part.changed();
-  if (p.direct_token != 0) {
+  shard.changed();
+  if (p.pushed_token != 0) {
     // A repeat of the direct start would run the task here again, though it may be elsewhere or over. As long
     // as the worker holds the attempt, ended, the repeat has no effect: keep it until the token is higher.
     // That is urgent if the task is to run again.
-    p.pinned_by = std::max(p.pinned_by, p.direct_token);
-    (cause == ExitCause::done ? part.token_old : part.token_wanted) = true;
+    p.pinned_by = std::max(p.pinned_by, p.pushed_token);
+    (cause == ExitCause::done ? shard.advance_token_eventually : shard.advance_token_soon) = true;
   }
-  auto it = part.jobs.find(id.task.job);
-  if (it == part.jobs.end() || id.task.index >= it->second.tasks.size()) return;
+  auto it = shard.jobs.find(id.task.job);
+  if (it == shard.jobs.end() || id.task.index >= it->second.tasks.size()) return;
   Job& job = it->second;
   Task& task = job.tasks[id.task.index];
   const bool counts = task.state == Task::State::placed && task.machine == &m && task.attempt == id.attempt;
-  const Micros now = cluster_.now();
+  const Micros now = state_.now();
   if (cause == ExitCause::done) {
     m.failed_jobs.clear();
     m.images[job.spec.image] = {now, job.spec.image_gb};
@@ -223,7 +223,7 @@
   if (counts) job.set_waiting(id.task.index);
   switch (cause) {
     case ExitCause::failed:
-      failed(part, m, job);
+      failed(shard, m, job);
       break;
     case ExitCause::no_room:
     case ExitCause::busy:
@@ -234,7 +234,7 @@
       break;
     case ExitCause::stopped:
       if (wanted)
-        cluster_.context.debug([&] { return "task " + id.task.job + " was stopped without our asking"; });
+        state_.context.debug([&] { return "task " + id.task.job + " was stopped without our asking"; });
       break;
     case ExitCause::none:
     case ExitCause::done:
@@ -244,35 +244,35 @@
 
 /// Is it the machine or the job? A machine is taken to be faulty once tasks of two jobs failed on it with no
 /// success in between, a job once it failed on two machines that are not.
-void Fleet::failed(Part& part, Machine& m, Job& job) {
+void Fleet::failed(Shard& shard, Machine& m, Job& job) {
   ++job.failures;
   job.failed_on.insert(m.name);
   if (job.failed_on.size() > kFailedOn) job.failed_on.erase(job.failed_on.begin());
   if (job.suspect()) {
-    job.retry_at = cluster_.now() + std::min(seconds(30), seconds(1) * (1 << std::min(job.failures, 5)));
+    job.retry_at = state_.now() + std::min(seconds(30), seconds(1) * (1 << std::min(job.failures, 5)));
     return;
   }
   m.failed_jobs.insert(job.spec.id);
   if (m.failed_jobs.size() < 2 || std::exchange(m.quarantined, true)) return;
-  cluster_.context.info("machine " + m.name + " fails its tasks: nothing more is placed on it");
-  for (auto& [id, other] : part.jobs)
+  state_.context.info("machine " + m.name + " fails its tasks: nothing more is placed on it");
+  for (auto& [id, other] : shard.jobs)
     if (other.failed_on.erase(m.name) > 0) other.retry_at = Micros{0};
 }
 
-void Fleet::release(Part& part, Machine& m, const AttemptId& id) {
-  auto it = part.jobs.find(id.task.job);
-  if (it != part.jobs.end() && id.task.index < it->second.tasks.size()) {
+void Fleet::release(Shard& shard, Machine& m, const AttemptId& id) {
+  auto it = shard.jobs.find(id.task.job);
+  if (it != shard.jobs.end() && id.task.index < it->second.tasks.size()) {
     Task& task = it->second.tasks[id.task.index];
     if (task.state == Task::State::placed && task.machine == &m && task.attempt == id.attempt)
       it->second.set_waiting(id.task.index);
   }
-  part.remove(m, id);
-  part.changed();
-  if (m.tasks.empty()) m.idle_since = cluster_.now();
+  shard.remove(m, id);
+  shard.changed();
+  if (m.tasks.empty()) m.idle_since = state_.now();
 }
 
-void Fleet::release_all(Part& part, Machine& m) {
-  while (!m.tasks.empty()) release(part, m, AttemptId(m.tasks.begin()->first));
+void Fleet::release_all(Shard& shard, Machine& m) {
+  while (!m.tasks.empty()) release(shard, m, AttemptId(m.tasks.begin()->first));
 }
 
 }  // namespace bendtide
--- a/src/core/holdings.h
+++ b/src/core/holdings.h
@@ -5,70 +5,72 @@
 
 namespace bendtide {
 
-class Holdings {
+class ShardLeases {
  public:
-  using Taken = std::function<void(Part&)>;
-  using Dropped = std::function<void(const std::string& part)>;
+  using Acquired = std::function<void(Shard&)>;
+  using Lost = std::function<void(const std::string& shard)>;
 
-  Holdings(Cluster& cluster, Fleet& fleet, Taken on_taken, Dropped on_dropped);
+  ShardLeases(ControllerState& state, Fleet& fleet, Acquired on_acquired, Lost on_lost);
 
   void tick();
   /// Rewrites our holding record, for a token above all that were ever given out.
-  void raise_token(Part& part);
+  void advance_fencing_token(Shard& shard);
   /// Another controller wants its own part back.
-  void hand_back(const std::string& part);
-  void on_wellbeing(const std::string& host, const Wellbeing& said);
+  void fail_back(const std::string& shard);
+  void on_peer_health(const std::string& host, const PeerHealth& health);
   /// Another controller has let go of a part that it can't serve.
-  void on_resign(const Resign& resign);
+  void on_lease_transfer(const LeaseTransfer& transfer_lease);
   /// A write met a token that is not ours: find out.
-  void doubt() { next_look_ = Micros{0}; }
+  void invalidate() { next_reload_ = Micros{0}; }
 
  private:
-  void renew_lease();
-  void look();
-  void on_routes(const StateAnswer& answer);
-  void consider(const std::string& part);
-  void take(const std::string& part, std::uint64_t seen_stamp);
-  void on_take_answered(const std::string& part, std::uint64_t seen_stamp, const StateAnswer& a);
-  void settle_take(const std::string& part);
+  void renew_store_lease();
+  void reload();
+  void on_lease_records(const StateAnswer& answer);
+  void consider_acquiring(const std::string& shard);
+  void acquire(const std::string& shard, std::uint64_t expected_stamp);
+  void on_acquire_response(const std::string& shard, std::uint64_t expected_stamp, const StateAnswer& a);
+  void resolve_acquisition(const std::string& shard);
   /// Ends a taking; false if the lease that the record was written under is no longer ours, so that the
   /// record goes with it, or has gone.
-  bool end_take(const std::string& part);
-  void adopt(const std::string& part, std::uint64_t token, std::uint64_t over);
-  void drop(std::string part, const char* why);
+  bool finish_acquisition(const std::string& shard);
+  void activate(const std::string& shard, std::uint64_t fencing_token, std::uint64_t replaced_token);
+  void lose_shard(std::string shard, const char* why);
   void lose_lease();
-  void tell_peers();
+  void report_health();
   /// Whether a peer could serve a part of ours that we can't; then which.
-  std::optional<std::string> better_host(const Part& part) const;
-  bool hears_nobody(const Part& part) const;
-  void resign(Part& part, const std::string& to, bool asked_for, const char* why);
+  std::optional<std::string> healthier_peer(const Shard& shard) const;
+  bool hears_no_worker(const Shard& shard) const;
+  void transfer_lease(Shard& shard, const std::string& to, bool asked_for, const char* why);
   void probe_workers();
 
   /// After we let go of our own part, we do not ask for it back for a while, nor before a worker of it has
   /// answered us if it was for their silence.
-  struct Resigned {
+  struct TransferredShard {
     Micros until{0};
     std::vector<std::string> workers;  ///< some addresses; none: no need to ask them
     bool probing = false;
     Micros next_probe{0};
   };
 
-  Cluster& cluster_;
+  ControllerState& state_;
   Fleet& fleet_;
-  Taken on_taken_;
-  Dropped on_dropped_;
-  std::uint64_t lease_ = 0;
-  bool lease_call_ = false;
+  Acquired on_acquired_;
+  Lost on_lost_;
+  std::uint64_t store_lease_ = 0;
+  bool store_lease_request_in_flight_ = false;
   Micros next_renewal_{0};
-  bool looking_ = false;
-  Micros next_look_{0};
-  std::map<std::string, std::uint64_t> taking_;  ///< parts whose taking is under way, and under which lease
-  std::uint64_t generations_ = 0;
-  Micros next_word_{0};
-  std::map<std::string, Resigned> resigned_;
-  std::map<std::string, Micros> handed_;  ///< parts that a peer could not serve and left to us, and when
-  std::map<std::string, Resign>
-      words_;  ///< the last one for each part: counts if it is of the record taken over
+  bool reloading_ = false;
+  Micros next_reload_{0};
+  std::map<std::string, std::uint64_t>
+      acquiring_;  ///< parts whose taking is under way, and under which lease
+  std::uint64_t leadership_terms_ = 0;
+  Micros next_health_report_{0};
+  std::map<std::string, TransferredShard> transferred_;
+  std::map<std::string, Micros>
+      received_transfers_;  ///< parts that a peer could not serve and left to us, and when
+  std::map<std::string, LeaseTransfer>
+      handover_states_;  ///< the last one for each part: counts if it is of the record taken over
 };
 
 }  // namespace bendtide
--- a/src/core/job_history.cpp
+++ b/src/core/job_history.cpp
@@ -2,7 +2,7 @@
 
 namespace bendtide {
 
-std::optional<FinalState>& JobHistory::entry(const std::string& job, Micros now) {
+std::optional<FinalState>& FinalStates::entry(const std::string& job, Micros now) {
   const auto [found, is_new] = jobs_.try_emplace(job);
   if (!is_new) return found->second;
   order_.push_back({job, now});
@@ -15,16 +15,16 @@
   return found->second;
 }
 
-bool JobHistory::learn_final(const std::string& job, const FinalState& state, Micros now) {
+bool FinalStates::record_final(const std::string& job, const FinalState& state, Micros now) {
   std::optional<FinalState>& known = entry(job, now);
   if (known) return known->phase == state.phase;
   known = state;
   return true;
 }
 
-void JobHistory::learn_over(const std::string& job, Micros now) { entry(job, now); }
+void FinalStates::record_ended(const std::string& job, Micros now) { entry(job, now); }
 
-std::optional<FinalState> JobHistory::final_state(const std::string& job) const {
+std::optional<FinalState> FinalStates::final_state(const std::string& job) const {
   const auto found = jobs_.find(job);
   return found == jobs_.end() ? std::nullopt : found->second;
 }
--- a/src/core/job_history.h
+++ b/src/core/job_history.h
@@ -17,16 +17,16 @@
   std::uint64_t done = 0;  ///< tasks
 };
 
-class JobHistory {
+class FinalStates {
  public:
   /// The final state was written by this controller, or read from the state service. The first one learned
   /// stays; false if this one differs from it.
-  bool learn_final(const std::string& job, const FinalState& state, Micros now);
+  bool record_final(const std::string& job, const FinalState& state, Micros now);
   /// A peer has said that the job is over, though not how.
-  void learn_over(const std::string& job, Micros now);
+  void record_ended(const std::string& job, Micros now);
 
-  bool is_over(const std::string& job) const { return jobs_.contains(job); }
-  /// None for an unfinished or forgotten job, and for one of which only is_over() is known.
+  bool has_ended(const std::string& job) const { return jobs_.contains(job); }
+  /// None for an unfinished or forgotten job, and for one of which only has_ended() is known.
   std::optional<FinalState> final_state(const std::string& job) const;
   /// Whether every end that was learned of since then is still remembered.
   bool remembers_since(Micros moment) const { return moment > forgotten_until_; }
--- a/src/core/jobs.cpp
+++ b/src/core/jobs.cpp
@@ -2,24 +2,24 @@
 
 namespace bendtide {
 
-Jobs::Jobs(Cluster& cluster, Hooks hooks)
-    : cluster_(cluster),
+Jobs::Jobs(ControllerState& state, Hooks hooks)
+    : state_(state),
       hooks_(std::move(hooks)),
       // A reply to a question of an earlier process of this host must not pass for one to ours.
-      next_question_(cluster.context.random() >> 8) {}
+      next_question_(state.context.random() >> 8) {}
 
 void Jobs::tick() {
   give_up_late_questions();
   give_up_queued_submissions();
-  if (!cluster_.acting()) return;
-  Part* own = cluster_.ready(cluster_.self());
+  if (!state_.lease_valid()) return;
+  Shard* own = state_.ready_shard(state_.self());
   if (own != nullptr && !queued_submissions_.empty()) write_accepted(*own);
-  for (auto& [name, part] : cluster_.parts) {
-    if (!part.ready()) continue;
-    end_finished_jobs(part);
-    record(part);
-    settle(part);
-    reread(part);
+  for (auto& [name, shard] : state_.shards) {
+    if (!shard.ready()) continue;
+    end_finished_jobs(shard);
+    record(shard);
+    settle(shard);
+    reread(shard);
   }
 }
 
--- a/src/core/jobs.h
+++ b/src/core/jobs.h
@@ -11,10 +11,10 @@
 class Jobs {
  public:
   struct Hooks {
-    std::function<void(Part&)> schedule;
-    std::function<void()> doubt_holdings;
+    std::function<void(Shard&)> schedule;
+    std::function<void()> invalidate_leases;
   };
-  Jobs(Cluster& cluster, Hooks hooks);
+  Jobs(ControllerState& state, Hooks hooks);
 
   void tick();
   void on_submit(std::uint64_t request, const JobSpec& spec);
@@ -26,7 +26,7 @@
   void on_reply(const JobReply& reply);
 
   /// Adds a job of a part that is being loaded.
-  static Job& load(Part& part, const records::LiveJob& record);
+  static Job& load(Shard& shard, const records::LiveJob& record);
   /// Where a job is, as read just now.
   void learn(const records::LiveJob& record);
 
@@ -50,8 +50,8 @@
   };
   /// Submissions that share one write.
   struct Batch {
-    std::string part;
-    std::uint64_t generation = 0;
+    std::string shard;
+    std::uint64_t leadership_term = 0;
     Micros asked{0};  ///< when the write was handed over
     std::vector<Submission> jobs;
   };
@@ -100,19 +100,19 @@
   std::optional<std::string> impossible(const JobSpec& spec) const;
 
   void refuse(const std::string& id, UserReply refusal, ReplyCallback respond, bool may_pass_on);
-  void write_accepted(Part& part);
+  void write_accepted(Shard& shard);
   void on_accepted(Batch batch, const StateAnswer& a);
   void accepted(Submission& one, const Batch& batch, const StateAnswer& a);
   void not_accepted(Batch& batch, const StateAnswer& a);
   void give_up_queued_submissions();
   /// Loads a job that was found unfinished by a request made at `asked`, if that may still be acted on.
-  Job* load_if_current(Part& part, const records::LiveJob& record, Micros asked);
-  void end_finished_jobs(Part& part);
-  void finalize(Part& part, Job& job, JobPhase phase, const ReplyCallback& respond);
+  Job* load_if_current(Shard& shard, const records::LiveJob& record, Micros asked);
+  void end_finished_jobs(Shard& shard);
+  void finalize(Shard& shard, Job& job, JobPhase phase, const ReplyCallback& respond);
   /// The last write of a job, tried until its outcome is known.
   struct FinalWrite {
-    std::string part;
-    std::uint64_t generation = 0;
+    std::string shard;
+    std::uint64_t leadership_term = 0;
     std::string job;
     JobPhase phase = JobPhase::done;
     bool outcome_unknown = false;  ///< an earlier try got no answer
@@ -122,7 +122,7 @@
   /// The state service holds a final state already: that one counts, whatever this controller believes.
   void read_final(const FinalWrite& write, const ReplyCallback& respond);
   void conclude(const FinalWrite& write, JobPhase phase, const ReplyCallback& respond);
-  void settle(Part& part);
+  void settle(Shard& shard);
 
   /// Tasks of one chunk whose end is being recorded.
   struct Recorded {
@@ -130,16 +130,17 @@
     std::uint32_t chunk = 0;
     std::vector<std::uint32_t> tasks;
   };
-  void record(Part& part);
-  void mark_slots_to_write(Part& part) const;
+  void record(Shard& shard);
+  void mark_slots_to_write(Shard& shard) const;
   static records::DoneBits done_bits(const Job& job, std::uint32_t chunk, std::vector<Recorded>& batch);
-  static std::vector<records::DoneBits> slot_value(Part& part, DoneSlot& slot, std::vector<Recorded>& batch);
-  DoneSlot& slot_for(Part& part, const Job& job, std::uint32_t chunk) const;
-  void on_recorded(Part& part, const std::vector<Recorded>& batch, const std::vector<std::uint32_t>& slots,
+  static std::vector<records::DoneBits> slot_value(Shard& shard, DoneSlot& slot,
+                                                   std::vector<Recorded>& batch);
+  DoneSlot& slot_for(Shard& shard, const Job& job, std::uint32_t chunk) const;
+  void on_recorded(Shard& shard, const std::vector<Recorded>& batch, const std::vector<std::uint32_t>& slots,
                    const StateAnswer& a);
-  void read_slot(Part& part, std::uint32_t slot);
+  void read_slot(Shard& shard, std::uint32_t slot);
   void remember(const std::string& id, const FinalState& state);
-  void reread(Part& part);
+  void reread(Shard& shard);
 
   static constexpr std::size_t kRoutesRemembered = 4096;
   /// For peers to answer what is passed on to them.
@@ -147,9 +148,9 @@
   static constexpr std::size_t kQuestions = 512;
   static constexpr std::size_t kAcceptanceWrites = 2;
 
-  Cluster& cluster_;
+  ControllerState& state_;
   Hooks hooks_;
-  std::map<std::string, std::string> part_of_;
+  std::map<std::string, std::string> shard_of_;
   /// Polls under way, and who has asked the same since: these wait for the next.
   std::map<SharedPoll, std::vector<ReplyCallback>> shared_polls_;
   std::map<std::uint64_t, PendingQuestion> pending_questions_;
--- a/src/core/jobs_peers.cpp
+++ b/src/core/jobs_peers.cpp
@@ -5,20 +5,20 @@
 
 std::vector<std::string> Jobs::peers() const {
   std::vector<std::string> hosts;
-  for (const Peer& peer : cluster_.context.settings.peers) hosts.push_back(peer.host);
+  for (const Peer& peer : state_.context.settings.peers) hosts.push_back(peer.host);
   return hosts;
 }
 
 void Jobs::ask(const std::vector<std::string>& hosts, JobQuery query, Micros within, ReplyCallback respond) {
   if (hosts.empty() || pending_questions_.size() >= kQuestions) return respond(unavailable(query.job));
   query.id = next_question_++;
-  pending_questions_[query.id] = {cluster_.now() + within, hosts.size(),
+  pending_questions_[query.id] = {state_.now() + within, hosts.size(),
                                   [id = query.job, respond = std::move(respond)](const UserReply& reply) {
                                     UserReply mine = reply;
                                     mine.id = id;
                                     respond(mine);
                                   }};
-  for (const std::string& host : hosts) cluster_.context.act(PeerSend{host, query});
+  for (const std::string& host : hosts) state_.context.act(PeerSend{host, query});
 }
 
 void Jobs::on_reply(const JobReply& reply) {
@@ -40,7 +40,7 @@
 void Jobs::give_up_late_questions() {
   std::vector<std::uint64_t> late;
   for (const auto& [id, question] : pending_questions_)
-    if (cluster_.now() >= question.until) late.push_back(id);
+    if (state_.now() >= question.until) late.push_back(id);
   for (const std::uint64_t id : late) {
     const ReplyCallback respond = std::move(pending_questions_.at(id).respond);
     pending_questions_.erase(id);
@@ -51,8 +51,8 @@
 void Jobs::on_query(const std::string& from, const JobQuery& query) {
   ReplyCallback reply = [this, from, id = query.id](const UserReply& answer) {
     const UserReply known = never_older(answer);
-    cluster_.context.act(PeerSend{from, JobReply{id, static_cast<std::uint32_t>(known.status), known.phase,
-                                                 known.done, known.running}});
+    state_.context.act(PeerSend{from, JobReply{id, static_cast<std::uint32_t>(known.status), known.phase,
+                                               known.done, known.running}});
   };
   switch (query.kind) {
     case JobQuery::Kind::poll:
--- a/src/core/jobs_recording.cpp
+++ b/src/core/jobs_recording.cpp
@@ -12,33 +12,33 @@
 
 }  // namespace
 
-DoneSlot& Jobs::slot_for(Part& part, const Job& job, std::uint32_t chunk) const {
+DoneSlot& Jobs::slot_for(Shard& shard, const Job& job, std::uint32_t chunk) const {
   const std::pair key{job.spec.id, chunk};
   const std::size_t tasks =
       std::min<std::size_t>(records::kChunk, job.tasks.size() - std::size_t{chunk} * records::kChunk);
   const std::size_t bytes = records::done_bytes(job.spec.id, tasks);
-  const std::size_t most = cluster_.context.settings.state_value_bytes * 9 / 10;
+  const std::size_t most = state_.context.settings.state_value_bytes * 9 / 10;
   std::uint32_t free = 0;
   DoneSlot* found = nullptr;
-  for (auto& [number, slot] : part.done_slots) {
+  for (auto& [number, slot] : shard.done_slots) {
     if (slot.chunks.contains(key)) return slot;
     if (found == nullptr && slot.bytes + bytes <= most) found = &slot;
     free = number + 1;
   }
-  if (found == nullptr) found = &part.done_slots[free];
+  if (found == nullptr) found = &shard.done_slots[free];
   found->chunks.insert(key);
   found->bytes += bytes;
   return *found;
 }
 
-void Jobs::mark_slots_to_write(Part& part) const {
-  for (auto& [id, job] : part.jobs) {
+void Jobs::mark_slots_to_write(Shard& shard) const {
+  for (auto& [id, job] : shard.jobs) {
     if (job.ended || job.finalizing) continue;
     std::optional<std::uint32_t> last_chunk;
     for (const std::uint32_t index : job.unrecorded) {
       const std::uint32_t chunk = index / records::kChunk;
       if (chunk == last_chunk) continue;
-      slot_for(part, job, chunk).dirty = true;
+      slot_for(shard, job, chunk).dirty = true;
       last_chunk = chunk;
     }
   }
@@ -62,13 +62,13 @@
 }
 
 /// What a slot is to hold. Chunks of jobs that are over leave it.
-std::vector<records::DoneBits> Jobs::slot_value(Part& part, DoneSlot& slot, std::vector<Recorded>& batch) {
+std::vector<records::DoneBits> Jobs::slot_value(Shard& shard, DoneSlot& slot, std::vector<Recorded>& batch) {
   std::vector<records::DoneBits> value;
   slot.bytes = 0;
   for (auto it = slot.chunks.begin(); it != slot.chunks.end();) {
     const auto& [id, chunk] = *it;
-    const auto found = part.jobs.find(id);
-    if (found == part.jobs.end() || found->second.ended) {
+    const auto found = shard.jobs.find(id);
+    if (found == shard.jobs.end() || found->second.ended) {
       it = slot.chunks.erase(it);
       continue;
     }
@@ -79,18 +79,18 @@
   return value;
 }
 
-void Jobs::record(Part& part) {
-  if (part.recording || cluster_.now() < part.next_recording) return;
-  mark_slots_to_write(part);
+void Jobs::record(Shard& shard) {
+  if (shard.recording || state_.now() < shard.next_recording) return;
+  mark_slots_to_write(shard);
   StateCommit txn;
-  txn.conditions = {cluster_.holds(part)};
+  txn.conditions = {state_.fenced_by(shard)};
   std::vector<Recorded> batch;
   std::vector<std::uint32_t> slots;
   std::size_t bytes = 0;
-  for (auto& [number, slot] : part.done_slots) {
-    if (!slot.dirty || slots.size() >= cluster_.context.settings.state_transaction_writes) continue;
-    if (slot.in_doubt) return read_slot(part, number);
-    const std::vector<records::DoneBits> value = slot_value(part, slot, batch);
+  for (auto& [number, slot] : shard.done_slots) {
+    if (!slot.dirty || slots.size() >= state_.context.settings.state_transaction_writes) continue;
+    if (slot.in_doubt) return read_slot(shard, number);
+    const std::vector<records::DoneBits> value = slot_value(shard, slot, batch);
     // With all its jobs over there is nothing to be kept; the slot is used again.
     if (value.empty()) {
       slot.dirty = false;
@@ -99,26 +99,26 @@
     bytes += slot.bytes;
     if (bytes > kTransactionBytes && !slots.empty()) break;
     // A late write of ours must not take back what a later one recorded.
-    const std::string key = records::done_key(part.name, number);
+    const std::string key = records::done_key(shard.name, number);
     txn.conditions.push_back({key, slot.stamp});
     txn.writes.push_back({key, records::to_json(value), 0});
     slots.push_back(number);
   }
   if (txn.writes.empty()) return;
-  part.recording = true;
-  cluster_.store.commit(std::move(txn), [this, name = part.name, generation = part.generation,
-                                         batch = std::move(batch), slots](const StateAnswer& a) {
-    if (Part* p = cluster_.known(name, generation)) on_recorded(*p, batch, slots, a);
+  shard.recording = true;
+  state_.store.commit(std::move(txn), [this, name = shard.name, leadership_term = shard.leadership_term,
+                                       batch = std::move(batch), slots](const StateAnswer& a) {
+    if (Shard* p = state_.shard_in_term(name, leadership_term)) on_recorded(*p, batch, slots, a);
   });
 }
 
-void Jobs::on_recorded(Part& part, const std::vector<Recorded>& batch,
+void Jobs::on_recorded(Shard& shard, const std::vector<Recorded>& batch,
                        const std::vector<std::uint32_t>& slots, const StateAnswer& a) {
-  part.recording = false;
-  part.next_recording = cluster_.now() + kRecordEvery;
-  if (a.outcome == Outcome::conflict) hooks_.doubt_holdings();
+  shard.recording = false;
+  shard.next_recording = state_.now() + kRecordEvery;
+  if (a.outcome == Outcome::conflict) hooks_.invalidate_leases();
   for (std::uint32_t number : slots) {
-    DoneSlot& slot = part.done_slots[number];
+    DoneSlot& slot = shard.done_slots[number];
     if (a.ok())
       slot.stamp = a.revision, slot.dirty = false;
     else if (a.outcome != Outcome::refused)
@@ -127,8 +127,8 @@
   if (!a.ok()) return;
   std::set<std::string> owners;
   for (const Recorded& r : batch) {
-    auto it = part.jobs.find(r.job);
-    if (it == part.jobs.end()) continue;
+    auto it = shard.jobs.find(r.job);
+    if (it == shard.jobs.end()) continue;
     Job& job = it->second;
     for (std::uint32_t index : r.tasks) {
       job.recorded[index] = true;
@@ -138,21 +138,22 @@
     if (!job.owner.empty()) owners.insert(job.owner);
   }
   for (const std::string& owner : owners)
-    cluster_.context.act(PeerSend{cluster_.holder(owner), Progress{owner}});
+    state_.context.act(PeerSend{state_.leader_of(owner), Progress{owner}});
 }
 
-void Jobs::read_slot(Part& part, std::uint32_t number) {
-  part.recording = true;
-  cluster_.store.get(records::done_key(part.name, number),
-                     [this, name = part.name, generation = part.generation, number](const StateAnswer& a) {
-                       Part* p = cluster_.known(name, generation);
-                       if (p == nullptr) return;
-                       p->recording = false;
-                       if (!a.ok() && a.outcome != Outcome::absent) return;
-                       DoneSlot& slot = p->done_slots[number];
-                       slot.in_doubt = false;
-                       slot.stamp = a.rows.empty() ? 0 : a.rows.front().stamp;
-                     });
+void Jobs::read_slot(Shard& shard, std::uint32_t number) {
+  shard.recording = true;
+  state_.store.get(
+      records::done_key(shard.name, number),
+      [this, name = shard.name, leadership_term = shard.leadership_term, number](const StateAnswer& a) {
+        Shard* p = state_.shard_in_term(name, leadership_term);
+        if (p == nullptr) return;
+        p->recording = false;
+        if (!a.ok() && a.outcome != Outcome::absent) return;
+        DoneSlot& slot = p->done_slots[number];
+        slot.in_doubt = false;
+        slot.stamp = a.rows.empty() ? 0 : a.rows.front().stamp;
+      });
 }
 
 }  // namespace bendtide
--- a/src/core/jobs_status.cpp
+++ b/src/core/jobs_status.cpp
@@ -14,22 +14,22 @@
 Jobs::ReplyCallback Jobs::to_user(std::uint64_t request) {
   return [this, request](const UserReply& reply) {
     const UserReply answer = never_older(reply);
-    cluster_.context.debug([&] {
+    state_.context.debug([&] {
       return answer.id + ": request " + std::to_string(request) + " is answered " +
              std::to_string(answer.status) + " " + to_text(answer.phase) + ", " +
              std::to_string(answer.done) + " done, " + std::to_string(answer.running) + " running";
     });
-    cluster_.context.act(AnswerUser{request, answer});
+    state_.context.act(AnswerUser{request, answer});
   };
 }
 
 UserReply Jobs::never_older(const UserReply& reply) {
-  const std::optional<FinalState> final_state = cluster_.history.final_state(reply.id);
+  const std::optional<FinalState> final_state = state_.final_states.final_state(reply.id);
   if (!final_state || reply.status == 503) return reply;
   const bool tells_state = reply.status == 200 || reply.status == 201;
   if (tells_state && is_final(reply.phase) && reply.phase != final_state->phase) {
-    cluster_.context.violated(Invariant::answers_agree, reply.id + " is " + to_text(final_state->phase) +
-                                                            ", and was to be called " + to_text(reply.phase));
+    state_.context.violated(Invariant::answers_agree, reply.id + " is " + to_text(final_state->phase) +
+                                                          ", and was to be called " + to_text(reply.phase));
     return unavailable(reply.id);
   }
   if (tells_state && reply.phase == final_state->phase) return reply;
@@ -47,26 +47,26 @@
 }
 
 void Jobs::remember(const std::string& id, const FinalState& state) {
-  part_of_.erase(id);
-  if (cluster_.learn_end(id, state)) return;
-  cluster_.context.violated(Invariant::final_state_stays,
-                            id + " is known as " + to_text(cluster_.history.final_state(id)->phase) +
-                                " and now found " + to_text(state.phase));
+  shard_of_.erase(id);
+  if (state_.record_job_end(id, state)) return;
+  state_.context.violated(Invariant::final_state_stays,
+                          id + " is known as " + to_text(state_.final_states.final_state(id)->phase) +
+                              " and now found " + to_text(state.phase));
 }
 
 void Jobs::learn(const records::LiveJob& record) {
-  if (cluster_.history.is_over(record.spec.id)) return;
-  if (part_of_.size() >= kRoutesRemembered) part_of_.clear();
-  part_of_[record.spec.id] = record.part;
+  if (state_.final_states.has_ended(record.spec.id)) return;
+  if (shard_of_.size() >= kRoutesRemembered) shard_of_.clear();
+  shard_of_[record.spec.id] = record.shard;
 }
 
 std::optional<Jobs::JobStatus> Jobs::from_memory(const std::string& id) const {
-  if (const auto state = cluster_.history.final_state(id)) return JobStatus{state->phase, state->done, 0};
-  if (!cluster_.acting() || cluster_.history.is_over(id)) return std::nullopt;
-  for (const auto& [name, part] : cluster_.parts) {
-    if (!part.ready()) continue;
-    auto it = part.jobs.find(id);
-    if (it == part.jobs.end() || !it->second.owner.empty()) continue;
+  if (const auto state = state_.final_states.final_state(id)) return JobStatus{state->phase, state->done, 0};
+  if (!state_.lease_valid() || state_.final_states.has_ended(id)) return std::nullopt;
+  for (const auto& [name, shard] : state_.shards) {
+    if (!shard.ready()) continue;
+    auto it = shard.jobs.find(id);
+    if (it == shard.jobs.end() || !it->second.owner.empty()) continue;
     const Job& job = it->second;
     // While its last write is under way, only the state service can tell.
     if (job.finalizing || job.ended) return std::nullopt;
@@ -98,11 +98,11 @@
     for (const ReplyCallback& respond : askers) respond(reply);
     answer_those_who_waited(poll);
   };
-  auto part = part_of_.find(id);
-  const std::string holder = part == part_of_.end() ? cluster_.self() : cluster_.holder(part->second);
-  if (!poll.may_pass_on || holder == cluster_.self() || !cluster_.reachable(holder))
+  auto shard = shard_of_.find(id);
+  const std::string leader_of = shard == shard_of_.end() ? state_.self() : state_.leader_of(shard->second);
+  if (!poll.may_pass_on || leader_of == state_.self() || !state_.reachable(leader_of))
     return read_and_tell(id, answer, poll.may_pass_on);
-  ask({holder}, {0, JobQuery::Kind::poll, id, false, {}}, kAskWithin,
+  ask({leader_of}, {0, JobQuery::Kind::poll, id, false, {}}, kAskWithin,
       [this, id, answer](const UserReply& reply) {
         if (reply.status == 200) return answer(reply);
         read_and_tell(id, answer, true);
@@ -122,30 +122,30 @@
 }
 
 void Jobs::read_and_tell(const std::string& id, const ReplyCallback& respond, bool may_pass_on) {
-  const JobRead read{id, cluster_.now(), may_pass_on, respond};
-  if (cluster_.store.failing() && may_pass_on) return on_record_unreadable(read);
-  cluster_.store.get(records::live_key(id), [this, read](const StateAnswer& a) { on_live_record(read, a); });
+  const JobRead read{id, state_.now(), may_pass_on, respond};
+  if (state_.store.failing() && may_pass_on) return on_record_unreadable(read);
+  state_.store.get(records::live_key(id), [this, read](const StateAnswer& a) { on_live_record(read, a); });
 }
 
 void Jobs::on_live_record(const JobRead& read, const StateAnswer& a) {
   if (a.outcome == Outcome::absent) {
     // Not live at that moment: over since before, or never accepted.
-    cluster_.store.get(records::job_key(read.job),
-                       [this, read](const StateAnswer& b) { on_final_record(read, b); });
+    state_.store.get(records::job_key(read.job),
+                     [this, read](const StateAnswer& b) { on_final_record(read, b); });
     return;
   }
   const auto live = a.ok() && !a.rows.empty() ? records::live_job(a.rows.front().value) : std::nullopt;
   if (!live) return on_record_unreadable(read);
   // It has ended since this was read: how, the next read tells.
-  if (cluster_.history.is_over(read.job)) return read.respond(unavailable(read.job));
+  if (state_.final_states.has_ended(read.job)) return read.respond(unavailable(read.job));
   learn(*live);
-  if (Part* part = cluster_.ready(live->part)) load_if_current(*part, *live, read.asked);
+  if (Shard* shard = state_.ready_shard(live->shard)) load_if_current(*shard, *live, read.asked);
   // The record is fresh, so the answer is right either way; the holder knows the counts.
   const UserReply pending = known_reply(read.job, {});
-  const std::string holder = cluster_.holder(live->part);
-  if (holder == cluster_.self() || !read.may_pass_on || !cluster_.reachable(holder))
+  const std::string leader_of = state_.leader_of(live->shard);
+  if (leader_of == state_.self() || !read.may_pass_on || !state_.reachable(leader_of))
     return read.respond(pending);
-  ask({holder}, {0, JobQuery::Kind::poll, read.job, false, {}}, kAskWithin,
+  ask({leader_of}, {0, JobQuery::Kind::poll, read.job, false, {}}, kAskWithin,
       [read, pending](const UserReply& reply) { read.respond(reply.status == 200 ? reply : pending); });
 }
 
--- a/src/core/jobs_submission.cpp
+++ b/src/core/jobs_submission.cpp
@@ -15,21 +15,20 @@
 }  // namespace
 
 std::optional<std::string> Jobs::impossible(const JobSpec& spec) const {
-  const Team* team = cluster_.context.settings.team(spec.team);
+  const Team* team = state_.context.settings.team(spec.team);
   if (team == nullptr) return "unknown team";
-  const bool fits =
-      std::any_of(cluster_.catalogue.begin(), cluster_.catalogue.end(), [&](const MachineType& t) {
-        return spec.allows_type(t.name) && spec.each.fits_in(t.size) &&
-               (!spec.zone || std::find(t.zones.begin(), t.zones.end(), *spec.zone) != t.zones.end());
-      });
+  const bool fits = std::any_of(state_.catalogue.begin(), state_.catalogue.end(), [&](const MachineType& t) {
+    return spec.allows_type(t.name) && spec.each.fits_in(t.size) &&
+           (!spec.zone || std::find(t.zones.begin(), t.zones.end(), *spec.zone) != t.zones.end());
+  });
   if (!fits) return "a task fits no allowed machine type";
   const std::int64_t at_once = spec.shape == Shape::service ? spec.tasks : 1;
   if (!(quota_of(spec.each) * at_once).fits_in(team->limit)) return "more than the team's limit";
   return std::nullopt;
 }
 
-Job& Jobs::load(Part& part, const records::LiveJob& record) {
-  auto [it, fresh] = part.jobs.try_emplace(record.spec.id);
+Job& Jobs::load(Shard& shard, const records::LiveJob& record) {
+  auto [it, fresh] = shard.jobs.try_emplace(record.spec.id);
   Job& job = it->second;
   if (!fresh) return job;
   job.spec = record.spec;
@@ -38,17 +37,17 @@
   job.tasks.resize(record.spec.tasks);
   job.waiting.reserve(record.spec.tasks);
   for (std::uint32_t i = record.spec.tasks; i > 0; --i) job.waiting.push_back(i - 1);
-  part.changed();
+  shard.changed();
   return job;
 }
 
-Job* Jobs::load_if_current(Part& part, const records::LiveJob& record, Micros asked) {
-  return cluster_.may_act_on(part, record.spec.id, asked) ? &load(part, record) : nullptr;
+Job* Jobs::load_if_current(Shard& shard, const records::LiveJob& record, Micros asked) {
+  return state_.may_act_on(shard, record.spec.id, asked) ? &load(shard, record) : nullptr;
 }
 
 bool Jobs::can_accept() const {
-  return cluster_.held(cluster_.self()) != nullptr && cluster_.parts.at(cluster_.self()).ready() &&
-         !cluster_.catalogue.empty() && !cluster_.store.failing();
+  return state_.held_shard(state_.self()) != nullptr && state_.shards.at(state_.self()).ready() &&
+         !state_.catalogue.empty() && !state_.store.failing();
 }
 
 void Jobs::on_submit(std::uint64_t request, const JobSpec& spec) { submit(spec, to_user(request), true); }
@@ -71,12 +70,12 @@
       a.callbacks.push_back(std::move(respond));
       return;
     }
-  const Settings& s = cluster_.context.settings;
+  const Settings& s = state_.context.settings;
   const double per_second = s.state_writes_per_s / static_cast<double>(s.controllers());
   if (static_cast<double>(queued_submissions_.size()) >= std::max(8.0, per_second * kAcceptWithinSeconds))
     return respond(unavailable(id, 2));
-  queued_submissions_.push_back({{cluster_.self(), spec, cluster_.context.wall}, {std::move(respond)}});
-  write_accepted(*cluster_.ready(cluster_.self()));
+  queued_submissions_.push_back({{state_.self(), spec, state_.context.wall}, {std::move(respond)}});
+  write_accepted(*state_.ready_shard(state_.self()));
 }
 
 void Jobs::on_malformed(std::uint64_t request, const std::string& id, const std::string& why) {
@@ -100,12 +99,12 @@
 }
 
 /// All submissions that have gathered while a write was under way go with the next one.
-void Jobs::write_accepted(Part& part) {
-  const std::size_t most = std::max<std::size_t>(1, cluster_.context.settings.state_transaction_writes / 2);
+void Jobs::write_accepted(Shard& shard) {
+  const std::size_t most = std::max<std::size_t>(1, state_.context.settings.state_transaction_writes / 2);
   while (!queued_submissions_.empty() && acceptance_writes_ < kAcceptanceWrites) {
-    Batch batch{part.name, part.generation, cluster_.now(), {}};
+    Batch batch{shard.name, shard.leadership_term, state_.now(), {}};
     StateCommit txn;
-    txn.conditions = {cluster_.holds(part)};
+    txn.conditions = {state_.fenced_by(shard)};
     while (!queued_submissions_.empty() && batch.jobs.size() < most) {
       const records::LiveJob& record = queued_submissions_.front().record;
       txn.conditions.push_back({records::live_key(record.spec.id), 0});
@@ -116,12 +115,12 @@
       queued_submissions_.pop_front();
     }
     ++acceptance_writes_;
-    cluster_.store.commit(
+    state_.store.commit(
         std::move(txn),
         [this, batch = std::move(batch)](const StateAnswer& a) mutable {
           --acceptance_writes_;
           on_accepted(std::move(batch), a);
-          if (Part* p = cluster_.ready(cluster_.self()); p != nullptr && !queued_submissions_.empty())
+          if (Shard* p = state_.ready_shard(state_.self()); p != nullptr && !queued_submissions_.empty())
             write_accepted(*p);
         },
         Store::Rank::first);
@@ -136,20 +135,20 @@
   }
   if (!a.ok()) return not_accepted(batch, a);
   for (Submission& one : batch.jobs) accepted(one, batch, a);
-  Part* part = cluster_.known(batch.part, batch.generation);
-  if (part != nullptr && cluster_.acting() && part->ready()) hooks_.schedule(*part);
+  Shard* shard = state_.shard_in_term(batch.shard, batch.leadership_term);
+  if (shard != nullptr && state_.lease_valid() && shard->ready()) hooks_.schedule(*shard);
 }
 
 /// The answer may be late: since the write was made, the job may have been found by its record, and even have
 /// been cancelled and forgotten. Then it must not begin anew, and nobody is told that it is only accepted.
 void Jobs::accepted(Submission& one, const Batch& batch, const StateAnswer& a) {
   const std::string& id = one.record.spec.id;
-  cluster_.context.info("accepted " + id + ": " + std::to_string(one.record.spec.tasks) + " tasks of " +
-                        one.record.spec.team + ", in part " + batch.part + " at revision " +
-                        std::to_string(a.revision));
-  Part* part = cluster_.known(batch.part, batch.generation);
-  if (part != nullptr && load_if_current(*part, one.record, batch.asked) == nullptr)
-    part->next_reread = std::min(part->next_reread, cluster_.now() + kRereadSoon);
+  state_.context.info("accepted " + id + ": " + std::to_string(one.record.spec.tasks) + " tasks of " +
+                      one.record.spec.team + ", in part " + batch.shard + " at revision " +
+                      std::to_string(a.revision));
+  Shard* shard = state_.shard_in_term(batch.shard, batch.leadership_term);
+  if (shard != nullptr && load_if_current(*shard, one.record, batch.asked) == nullptr)
+    shard->next_reread = std::min(shard->next_reread, state_.now() + kRereadSoon);
   const std::optional<JobStatus> known = from_memory(id);
   for (ReplyCallback& respond : one.callbacks) {
     if (known)
@@ -160,17 +159,17 @@
 }
 
 void Jobs::not_accepted(Batch& batch, const StateAnswer& a) {
-  if (a.outcome == Outcome::conflict) hooks_.doubt_holdings();
+  if (a.outcome == Outcome::conflict) hooks_.invalidate_leases();
   // Without an answer they may have been accepted, or may be yet: then a later poll, a repeated submission or
   // the reading of the part's unfinished jobs finds them.
-  Part* part = cluster_.known(batch.part, batch.generation);
-  if (a.outcome == Outcome::lost && part != nullptr)
-    part->next_reread = std::min(part->next_reread, cluster_.now() + kRereadSoon);
+  Shard* shard = state_.shard_in_term(batch.shard, batch.leadership_term);
+  if (a.outcome == Outcome::lost && shard != nullptr)
+    shard->next_reread = std::min(shard->next_reread, state_.now() + kRereadSoon);
   auto failed = [&](const std::string& key) {
     return std::find(a.failed.begin(), a.failed.end(), key) != a.failed.end();
   };
   const bool held =
-      a.outcome == Outcome::conflict && !a.failed.empty() && !failed(records::hold_key(batch.part));
+      a.outcome == Outcome::conflict && !a.failed.empty() && !failed(records::lease_key(batch.shard));
   for (Submission& one : batch.jobs) {
     const std::string& id = one.record.spec.id;
     if (a.outcome == Outcome::conflict &&
@@ -189,7 +188,7 @@
 
 /// Nobody waits for what could not be written in time.
 void Jobs::give_up_queued_submissions() {
-  const bool can_write = cluster_.ready(cluster_.self()) != nullptr && !cluster_.store.failing();
+  const bool can_write = state_.ready_shard(state_.self()) != nullptr && !state_.store.failing();
   while (!queued_submissions_.empty() && !can_write) {
     const Submission& submission = queued_submissions_.front();
     for (const ReplyCallback& respond : submission.callbacks) respond(unavailable(submission.record.spec.id));
@@ -197,19 +196,19 @@
   }
 }
 
-void Jobs::reread(Part& part) {
-  if (part.rereading || cluster_.now() < part.next_reread) return;
-  part.next_reread = cluster_.now() + kRereadEvery;
-  part.rereading = true;
-  cluster_.store.list(records::kLivePrefix, [this, name = part.name, generation = part.generation,
-                                             asked = cluster_.now()](const StateAnswer& a) {
-    Part* p = cluster_.known(name, generation);
+void Jobs::reread(Shard& shard) {
+  if (shard.rereading || state_.now() < shard.next_reread) return;
+  shard.next_reread = state_.now() + kRereadEvery;
+  shard.rereading = true;
+  state_.store.list(records::kLivePrefix, [this, name = shard.name, leadership_term = shard.leadership_term,
+                                           asked = state_.now()](const StateAnswer& a) {
+    Shard* p = state_.shard_in_term(name, leadership_term);
     if (p == nullptr) return;
     p->rereading = false;
     if (!a.ok()) return;
     for (const StateRow& row : a.rows) {
       const auto record = records::live_job(row.value);
-      if (record && record->part == name) load_if_current(*p, *record, asked);
+      if (record && record->shard == name) load_if_current(*p, *record, asked);
     }
   });
 }
--- a/src/core/overview.cpp
+++ b/src/core/overview.cpp
@@ -10,33 +10,34 @@
 
 }  // namespace
 
-Value parts(const Cluster& cluster) {
+Value shards(const ControllerState& state) {
   Value held = Value::array(), routes = Value::object();
-  for (const auto& [name, part] : cluster.parts) {
+  for (const auto& [name, shard] : state.shards) {
     Value shares = Value::object();
-    for (const auto& [team, share] : part.shares)
+    for (const auto& [team, share] : shard.shares)
       shares[team] = {{"share_cpus", units(share.cpu)},
-                      {"used_or_possibly_used_cpus", units(part.used(team).cpu)}};
+                      {"used_or_possibly_used_cpus", units(shard.used(team).cpu)}};
     held.push_back({{"part", name},
-                    {"token", part.token},
-                    {"ready", part.ready()},
-                    {"acting", cluster.acting()},
-                    {"held_s", in_seconds(cluster.now() - part.taken_at)},
-                    {"machines", part.machines.size()},
-                    {"all_machines_settled", part.all_settled()},
-                    {"jobs", part.jobs.size()},
+                    {"token", shard.fencing_token},
+                    {"ready", shard.ready()},
+                    {"acting", state.lease_valid()},
+                    {"held_s", in_seconds(state.now() - shard.acquired_at)},
+                    {"machines", shard.machines.size()},
+                    {"all_machines_settled", shard.all_settled()},
+                    {"jobs", shard.jobs.size()},
                     {"shares", std::move(shares)}});
   }
-  for (const auto& [name, route] : cluster.routes)
+  for (const auto& [name, route] : state.routes)
     routes[name] = route.host.empty() ? Value() : Value(route.host);
-  return {
-      {"term_left_s", in_seconds(cluster.valid_until - cluster.now())}, {"held", held}, {"holders", routes}};
+  return {{"term_left_s", in_seconds(state.lease_valid_until - state.now())},
+          {"held", held},
+          {"holders", routes}};
 }
 
-Value machines(const Cluster& cluster) {
+Value machines(const ControllerState& state) {
   Value out = Value::array();
-  for (const auto& [name, part] : cluster.parts)
-    for (const auto& [id, m] : part.machines) {
+  for (const auto& [name, shard] : state.shards)
+    for (const auto& [id, m] : shard.machines) {
       if (out.size() >= kMostRows) return out;
       out.push_back({{"machine", id},
                      {"part", name},
@@ -44,7 +45,7 @@
                      {"zone", m.zone},
                      {"spot", m.spot},
                      {"up", m.heard},
-                     {"silent_s", m.heard ? in_seconds(cluster.now() - m.last_heard) : 0.0},
+                     {"silent_s", m.heard ? in_seconds(state.now() - m.last_heard) : 0.0},
                      {"settled", m.settled},
                      {"lease_over", m.lost},
                      {"quarantined", m.quarantined},
@@ -55,10 +56,10 @@
   return out;
 }
 
-Value jobs(const Cluster& cluster) {
+Value jobs(const ControllerState& state) {
   Value out = Value::array();
-  for (const auto& [name, part] : cluster.parts)
-    for (const auto& [id, job] : part.jobs) {
+  for (const auto& [name, shard] : state.shards)
+    for (const auto& [id, job] : shard.jobs) {
       if (out.size() >= kMostRows) return out;
       out.push_back({{"job", id},
                      {"part", name},
--- a/src/core/overview.h
+++ b/src/core/overview.h
@@ -5,9 +5,9 @@
 
 namespace bendtide::overview {
 
-Value parts(const Cluster& cluster);
-Value machines(const Cluster& cluster);
-Value jobs(const Cluster& cluster);
+Value shards(const ControllerState& state);
+Value machines(const ControllerState& state);
+Value jobs(const ControllerState& state);
 Value negotiations(const ContractNet& net);
 
 }  // namespace bendtide::overview
--- a/src/core/part.cpp
+++ b/src/core/part.cpp
@@ -2,7 +2,7 @@
 
 namespace bendtide {
 
-bool Part::sums_hold() const {
+bool Shard::sums_hold() const {
   std::map<std::string, Quota> usage;
   Quota unknown, unsettled;
   std::map<std::string, std::uint32_t> present;
--- a/src/core/part.h
+++ b/src/core/part.h
@@ -113,7 +113,7 @@
   Micros stop_since{0};            ///< when it was first unwanted
   std::uint64_t offered_in = 0;    ///< the last report whose answer carried its start
   int direct_in_flight = 0;        ///< direct starts not answered yet
-  std::uint64_t direct_token = 0;  ///< the last token under which it was started directly
+  std::uint64_t pushed_token = 0;  ///< the last token under which it was started directly
   /// A direct start under this token may still be executed (late or once more), until the worker has shown
   /// a higher one. 0: none.
   std::uint64_t pinned_by = 0;
@@ -144,15 +144,15 @@
   Micros last_reported{0};              ///< when any report of it came, believed or not
   /// When it was sent a token of this holding that it has not shown since. Not set by what was surely lost.
   std::optional<Micros> told_at;
-  Micros last_answered{0};           ///< when we last received a report that we answered with 200
-  bool lost = false;                 ///< its lease is surely over
-  std::uint64_t shown_token = 0;     ///< in its newest account
-  std::uint64_t answered_in = 0;     ///< the last report that we answered with orders
-  std::uint64_t answered_token = 0;  ///< the token in that answer
-  Micros orders_sent_at{0};          ///< when that answer was sent
-  bool order_lost = false;           ///< a direct order got no answer since the last report
-  int lost_orders = 0;               ///< in a row, each followed by a report
-  int unreachable_signs = 0;         ///< signs, in a row, that answers and commands don't reach it
+  Micros last_answered{0};               ///< when we last received a report that we answered with 200
+  bool lost = false;                     ///< its lease is surely over
+  std::uint64_t acknowledged_token = 0;  ///< in its newest account
+  std::uint64_t answered_in = 0;         ///< the last report that we answered with orders
+  std::uint64_t last_reply_token = 0;    ///< the token in that answer
+  Micros orders_sent_at{0};              ///< when that answer was sent
+  bool order_lost = false;               ///< a direct order got no answer since the last report
+  int lost_orders = 0;                   ///< in a row, each followed by a report
+  int unreachable_signs = 0;             ///< signs, in a row, that answers and commands don't reach it
   std::optional<Micros> notice_until;
   bool condemned = false;  ///< to be deleted; nothing is placed on it any more
   bool deleting = false;
@@ -222,18 +222,19 @@
   bool in_doubt = false;  ///< a write without answer
 };
 
-struct Part {
+struct Shard {
   enum class Stage : std::uint8_t { loading, ready };
   std::string name;
-  std::uint64_t token = 0;
-  std::uint64_t first_token = 0;  ///< of this holding: an account that shows less is from before it
-  std::uint64_t generation = 0;   ///< of this holding in this process
-  Micros taken_at{0};
+  std::uint64_t fencing_token = 0;
+  std::uint64_t first_fencing_token = 0;  ///< of this holding: an account that shows less is from before it
+  std::uint64_t leadership_term = 0;      ///< of this holding in this process
+  Micros acquired_at{0};
   Stage stage = Stage::loading;
-  bool renewing_token = false;
-  Micros next_token{0};
-  bool token_wanted = false;  ///< a higher token is needed to settle a pinned start
-  bool token_old = false;  ///< and some day, for workers to forget ended attempts that were started directly
+  bool advancing_fencing_token = false;
+  Micros next_token_advance{0};
+  bool advance_token_soon = false;  ///< a higher token is needed to settle a pinned start
+  bool advance_token_eventually =
+      false;  ///< and some day, for workers to forget ended attempts that were started directly
 
   std::map<std::string, Quota> shares;
   std::map<std::string, Quota> lending;  ///< share in a write under way: neither ours nor given yet
@@ -265,7 +266,7 @@
   std::vector<std::string> over;            ///< jobs that are ended, until nothing of them is left
   std::map<std::uint32_t, DoneSlot> done_slots;
   std::map<std::uint32_t, ClaimBlock> claim_blocks;
-  std::vector<SilentMachine> told;  ///< by the last holder, for the loading
+  std::vector<UnreachableMachine> handover;  ///< by the last holder, for the loading
 
   bool ready() const { return stage == Stage::ready; }
   void changed() { next_pass = Micros{0}; }
@@ -293,7 +294,7 @@
     return job.can_start(now) && !job.unsettled && !in_doubt(job, now);
   }
   /// Unique among all attempts that were ever made: tokens are, and they grow.
-  std::uint64_t next_attempt() { return (token << 16) + ++starts; }
+  std::uint64_t next_attempt() { return (fencing_token << 16) + ++starts; }
 
   // ---- sums, kept as things change ---------------------------------------------------------------
 
--- a/src/core/records.cpp
+++ b/src/core/records.cpp
@@ -79,19 +79,19 @@
 }  // namespace
 
 std::vector<std::string> split_key(const std::string& key) {
-  std::vector<std::string> parts(1);
+  std::vector<std::string> pieces(1);
   for (char c : key) {
     if (c == '/')
-      parts.emplace_back();
+      pieces.emplace_back();
     else
-      parts.back() += c;
+      pieces.back() += c;
   }
-  return parts;
+  return pieces;
 }
 
-Value to_json(const Hold& h) { return {{"host", h.host}, {"incarnation", h.incarnation}}; }
-std::optional<Hold> hold(const Value& v) {
-  return read<Hold>(v, [](Hold& out, const Value& in) {
+Value to_json(const LeaseRecord& h) { return {{"host", h.host}, {"incarnation", h.incarnation}}; }
+std::optional<LeaseRecord> lease_record(const Value& v) {
+  return read<LeaseRecord>(v, [](LeaseRecord& out, const Value& in) {
     out.host = in.at("host").get<std::string>();
     out.incarnation = in.at("incarnation").get<std::string>();
   });
@@ -117,11 +117,11 @@
 }
 
 Value to_json(const LiveJob& j) {
-  return {{"part", j.part}, {"spec", spec_json(j.spec)}, {"accepted", j.accepted.count()}};
+  return {{"part", j.shard}, {"spec", spec_json(j.spec)}, {"accepted", j.accepted.count()}};
 }
 std::optional<LiveJob> live_job(const Value& v) {
   return read<LiveJob>(v, [](LiveJob& out, const Value& in) {
-    out.part = in.at("part").get<std::string>();
+    out.shard = in.at("part").get<std::string>();
     out.spec = spec(in.at("spec"));
     out.accepted = micros(in.at("accepted"));
   });
@@ -138,7 +138,7 @@
     for (const Value& range : in.at("ranges"))
       out.ranges.emplace_back(range.at(0).get<std::uint32_t>(), range.at(1).get<std::uint32_t>());
     const Value& job = in.at("job");
-    out.job.part = out.owner;
+    out.job.shard = out.owner;
     out.job.spec = spec(job.at("spec"));
     out.job.accepted = micros(job.at("accepted"));
   });
--- a/src/core/records.h
+++ b/src/core/records.h
@@ -16,7 +16,7 @@
 
 namespace bendtide::records {
 
-struct Hold {
+struct LeaseRecord {
   std::string host;
   std::string incarnation;
 };
@@ -28,7 +28,7 @@
   std::uint32_t tasks = 0;
 };
 struct LiveJob {
-  std::string part;
+  std::string shard;
   JobSpec spec;
   Micros accepted{0};  ///< wall clock
 };
@@ -52,26 +52,26 @@
   Micros rented{0};  ///< wall clock
 };
 
-inline std::string hold_key(const std::string& part) { return "hold/" + part; }
-inline std::string room_key(const std::string& part) { return "room/" + part; }
+inline std::string lease_key(const std::string& shard) { return "hold/" + shard; }
+inline std::string room_key(const std::string& shard) { return "room/" + shard; }
 inline std::string job_key(const std::string& id) { return "job/" + id; }
 inline std::string live_key(const std::string& id) { return "live/" + id; }
-inline std::string done_prefix(const std::string& part) { return "done/" + part + "/"; }
-inline std::string done_key(const std::string& part, std::uint32_t slot) {
-  return done_prefix(part) + std::to_string(slot);
+inline std::string done_prefix(const std::string& shard) { return "done/" + shard + "/"; }
+inline std::string done_key(const std::string& shard, std::uint32_t slot) {
+  return done_prefix(shard) + std::to_string(slot);
 }
-inline std::string award_prefix(const std::string& part) { return "award/" + part + "/"; }
-inline std::string award_key(const std::string& part, const std::string& id, std::uint64_t round) {
-  return award_prefix(part) + id + "/" + std::to_string(round);
+inline std::string award_prefix(const std::string& shard) { return "award/" + shard + "/"; }
+inline std::string award_key(const std::string& shard, const std::string& id, std::uint64_t round) {
+  return award_prefix(shard) + id + "/" + std::to_string(round);
 }
 inline const std::string kHomes = "-";  ///< sorts before the name of any part
-inline std::string claim_key(const std::string& part, std::uint32_t block) {
-  return "claim/" + part + "/" + std::to_string(block);
+inline std::string claim_key(const std::string& shard, std::uint32_t block) {
+  return "claim/" + shard + "/" + std::to_string(block);
 }
-inline std::string home_key(const std::string& part) { return "claim/" + kHomes + "/" + part; }
+inline std::string home_key(const std::string& shard) { return "claim/" + kHomes + "/" + shard; }
 /// Tasks in one chunk of a done record: its bitmap takes 1 KiB.
 constexpr std::uint32_t kChunk = 4096;
-inline const std::string kHoldPrefix = "hold/";
+inline const std::string kLeasePrefix = "hold/";
 inline const std::string kLivePrefix = "live/";
 inline const std::string kDonePrefix = "done/";
 inline const std::string kAwardPrefix = "award/";
@@ -82,7 +82,7 @@
 /// Splits a key at its slashes.
 std::vector<std::string> split_key(const std::string& key);
 
-Value to_json(const Hold&);
+Value to_json(const LeaseRecord&);
 Value to_json(const Room&);
 Value to_json(const JobEntry&);
 Value to_json(const LiveJob&);
@@ -96,7 +96,7 @@
 std::size_t done_bytes(const std::string& job, std::size_t tasks);
 
 /// A record that can't be read is none: the caller drops it and says so.
-std::optional<Hold> hold(const Value&);
+std::optional<LeaseRecord> lease_record(const Value&);
 std::optional<Room> room(const Value&);
 std::optional<JobEntry> job_entry(const Value&);
 std::optional<LiveJob> live_job(const Value&);
--- a/src/core/renter.h
+++ b/src/core/renter.h
@@ -7,11 +7,11 @@
 
 class Renter {
  public:
-  Renter(Cluster& cluster, Fleet& fleet);
+  Renter(ControllerState& state, Fleet& fleet);
 
   void tick();
   void on_answer(std::uint64_t call, const CloudAnswer& answer);
-  void on_part_ready(Part& part);
+  void on_shard_ready(Shard& shard);
   /// A peer was refused this kind: no need to spend a call on it.
   void on_scarce(const Scarce& scarce);
 
@@ -26,14 +26,14 @@
 
   bool call(CloudRequest request, Done done);
   void read_catalogue();
-  void rent(Part& part);
-  void order(Part& part, const std::string& charter, const Kind& kind, int count);
-  void return_idle(Part& part);
+  void rent(Shard& shard);
+  void order(Shard& shard, const std::string& charter, const Kind& kind, int count);
+  void return_idle(Shard& shard);
   /// Stops opportunistic work that alone keeps an ordinary machine rented.
-  void drain_opportunistic(Part& part, Machine& m) const;
-  void give_up_stuck(Part& part);
-  void remove_condemned(Part& part);
-  void look_for_strays(Part& part);
+  void drain_opportunistic(Shard& shard, Machine& m) const;
+  void give_up_stuck(Shard& shard);
+  void remove_condemned(Shard& shard);
+  void look_for_strays(Shard& shard);
   /// Machines of one kind that are wanted, and whether by opportunistic work only.
   struct Wanted {
     int count = 0;
@@ -51,17 +51,17 @@
     Kind kind;
     Resources free;
   };
-  std::map<Kind, Wanted> demand(Part& part);
-  std::vector<Bin> room_to_come(const Part& part) const;
+  std::map<Kind, Wanted> demand(Shard& shard);
+  std::vector<Bin> room_to_come(const Shard& shard) const;
   bool may_still_come(const Machine& m, const std::map<std::string, Micros>& newest_up) const;
-  std::vector<Need> needs_beyond(Part& part, std::vector<Bin>& bins) const;
+  std::vector<Need> needs_beyond(Shard& shard, std::vector<Bin>& bins) const;
   static void fill(Bin& bin, Need& need);
-  std::optional<Kind> cheapest(const Part& part, const Need& need, const std::vector<Need>& needs) const;
+  std::optional<Kind> cheapest(const Shard& shard, const Need& need, const std::vector<Need>& needs) const;
   static bool suits(const JobSpec& spec, const Kind& kind);
   void refused(const Kind& kind);
   std::string next_charter();
 
-  Cluster& cluster_;
+  ControllerState& state_;
   Fleet& fleet_;
   Budget budget_;
   std::map<std::uint64_t, Done> in_flight_;
