--- a/src/core/scheduler.cpp
+++ b/src/core/scheduler.cpp
@@ -15,10 +15,10 @@
 
 }  // namespace
 
-Quota Scheduler::guarantee(const Part& part, const std::string& name) const {
-  const Team* team = cluster_.context.settings.team(name);
+Quota Scheduler::guarantee(const Shard& shard, const std::string& name) const {
+  const Team* team = state_.context.settings.team(name);
   if (team == nullptr) return {};
-  const Quota share = part.share(name);
+  const Quota share = shard.share(name);
   auto portion = [](std::int64_t whole, std::int64_t share_of, std::int64_t limit) {
     return limit == 0 ? 0
                       : static_cast<std::int64_t>(static_cast<double>(whole) * static_cast<double>(share_of) /
@@ -33,7 +33,7 @@
 Scheduler::Urgency Scheduler::urgency(const Job& job) const {
   Urgency out{0, job.due()};
   if (job.spec.shape != Shape::array) return out;
-  for (const Objective& o : cluster_.context.settings.objectives) {
+  for (const Objective& o : state_.context.settings.objectives) {
     if (o.job_class != job.spec.job_class) continue;
     Micros within = o.within;  // of its acceptance; of its start for `wait`, else of its end
     if (o.kind == "deadline" && job.spec.deadline)
@@ -41,7 +41,7 @@
     else if (o.kind != "wait" && o.kind != "finished")
       continue;
     const Micros start_by = job.accepted + within - (o.kind == "wait" ? Micros{0} : job.spec.estimate);
-    if (cluster_.context.wall > start_by)
+    if (state_.context.wall > start_by)
       ++out.lost;
     else
       out.start_by = std::min(out.start_by, start_by);
@@ -49,21 +49,21 @@
   return out;
 }
 
-void Scheduler::rank(Part& part) {
-  part.queue.clear();
-  for (auto& [id, job] : part.jobs) {
+void Scheduler::rank(Shard& shard) {
+  shard.queue.clear();
+  for (auto& [id, job] : shard.jobs) {
     job.overflow = 0;
     job.short_of_share = false;
-    if (!part.may_start(job, cluster_.now())) continue;
+    if (!shard.may_start(job, state_.now())) continue;
     const std::string& team = job.spec.team;
     auto [lost, start_by] = urgency(job);
     // Where there is always something more pressing, one that has long been waiting for its first task would
     // never begin.
-    if (job.done == 0 && job.present == 0 && cluster_.context.wall - job.accepted > kLongest) lost = -1;
-    part.queue.push_back(
-        {&job, lost, start_by, (part.used(team) + quota_of(job.spec.each)).fits_in(guarantee(part, team))});
+    if (job.done == 0 && job.present == 0 && state_.context.wall - job.accepted > kLongest) lost = -1;
+    shard.queue.push_back(
+        {&job, lost, start_by, (shard.used(team) + quota_of(job.spec.each)).fits_in(guarantee(shard, team))});
   }
-  std::sort(part.queue.begin(), part.queue.end(), [](const Ranked& a, const Ranked& b) {
+  std::sort(shard.queue.begin(), shard.queue.end(), [](const Ranked& a, const Ranked& b) {
     auto key = [](const Ranked& r) {
       return std::tuple(-static_cast<int>(r.job->spec.priority), r.lost, !r.guaranteed, r.start_by,
                         r.job->accepted, std::string_view(r.job->spec.id));
@@ -72,17 +72,17 @@
   });
 }
 
-std::vector<Scheduler::Room> Scheduler::rooms(Part& part) const {
+std::vector<Scheduler::Room> Scheduler::rooms(Shard& shard) const {
   std::vector<Room> out;
-  for (auto& [name, m] : part.machines)
+  for (auto& [name, m] : shard.machines)
     if (fleet_.usable(m)) out.push_back({&m, m.free(), m.coming});
   return out;
 }
 
-Scheduler::PerZone Scheduler::zones_of(const Part& part, const Job& job) {
+Scheduler::PerZone Scheduler::zones_of(const Shard& shard, const Job& job) {
   PerZone out;
   if (!job.spec.needs_one_decider()) return out;
-  for (const auto& [name, m] : part.machines)
+  for (const auto& [name, m] : shard.machines)
     for (auto it = m.tasks.lower_bound(AttemptId{{job.spec.id, 0}, 0});
          it != m.tasks.end() && it->first.task.job == job.spec.id; ++it)
       if (it->second.takes_room()) ++out[m.zone];
@@ -102,24 +102,24 @@
   return true;
 }
 
-bool Scheduler::worth_its_price(const Part& part, const Job& job, const Machine& m) const {
-  const Settings& settings = cluster_.context.settings;
+bool Scheduler::worth_its_price(const Shard& shard, const Job& job, const Machine& m) const {
+  const Settings& settings = state_.context.settings;
   if (m.spot || !job.begun() || !settings.opportunistic(job.spec)) return true;
   return std::any_of(m.tasks.begin(), m.tasks.end(), [&](const auto& task) {
-    auto other = part.jobs.find(task.first.task.job);
-    return task.second.wanted && other != part.jobs.end() && !settings.opportunistic(other->second.spec);
+    auto other = shard.jobs.find(task.first.task.job);
+    return task.second.wanted && other != shard.jobs.end() && !settings.opportunistic(other->second.spec);
   });
 }
 
-void Scheduler::place(Part& part, const Ranked& ranked, Room& room, PerZone& per_zone) {
+void Scheduler::place(Shard& shard, const Ranked& ranked, Room& room, PerZone& per_zone) {
   Job& job = *ranked.job;
   Machine& m = *room.machine;
-  if (!worth_its_price(part, job, m)) return;
+  if (!worth_its_price(shard, job, m)) return;
   const Quota each = quota_of(job.spec.each);
   // A job that fails everywhere gets one try at a time.
   const bool one_at_a_time = job.suspect();
   while (!job.waiting.empty() && job.spec.each.fits_in(room.free) && allowed(job, m, per_zone)) {
-    if (!each.fits_in(part.free_share(job.spec.team))) {
+    if (!each.fits_in(shard.free_share(job.spec.team))) {
       job.short_of_share = true;
       return;
     }
@@ -127,25 +127,25 @@
     const TaskId task{job.spec.id, index};
     auto held = m.tasks.lower_bound(AttemptId{task, 0});
     if (held != m.tasks.end() && held->first.task == task) return;  // an earlier attempt of it is still there
-    const AttemptId id{task, part.next_attempt()};
-    part.place(m, id, &job).placed_at = cluster_.now();
+    const AttemptId id{task, shard.next_attempt()};
+    shard.place(m, id, &job).placed_at = state_.now();
     job.leave_waiting(index, {Task::State::placed, &m, id.attempt});
-    cluster_.context.debug([&] {
+    state_.context.debug([&] {
       return task.job + "/" + std::to_string(index) + " attempt " + std::to_string(id.attempt) +
-             " is placed on " + m.name + " by part " + part.name +
+             " is placed on " + m.name + " by part " + shard.name +
              (job.owner.empty() ? "" : ", awarded by ") + job.owner;
     });
     room.free -= job.spec.each;
-    m.idle_since = cluster_.now();
+    m.idle_since = state_.now();
     // Tasks waiting for the same image share its fetch: it counts as cached from now on.
-    m.images[job.spec.image] = {cluster_.now(), job.spec.image_gb};
+    m.images[job.spec.image] = {state_.now(), job.spec.image_gb};
     if (job.spec.needs_one_decider()) ++per_zone[m.zone];
-    part.push_to(m);
+    shard.push_to(m);
     if (one_at_a_time) return;
   }
 }
 
-void Scheduler::place_all(Part& part, const Ranked& ranked, std::vector<Room>& rooms, PerZone& per_zone) {
+void Scheduler::place_all(Shard& shard, const Ranked& ranked, std::vector<Room>& rooms, PerZone& per_zone) {
   const Job& job = *ranked.job;
   // Caching machines go first, unless a fetch is short beside the run. Then, for services, those in our own
   // zone, as they go on there when the way to the others is cut. Then the ones of its kind, as services keep
@@ -160,11 +160,11 @@
   for (Room& r : rooms) {
     const Machine& m = *r.machine;
     if (!job.spec.each.fits_in(r.free) || !allowed(job, m, per_zone)) continue;
-    if (job.failed_on.contains(m.name) && part.machines.size() > job.failed_on.size()) continue;
+    if (job.failed_on.contains(m.name) && shard.machines.size() > job.failed_on.size()) continue;
     if (job.only_where_cached && !m.images.contains(job.spec.image)) continue;
-    const bool short_fetch = cluster_.fetch_time(job.spec, m.type) * kShortFetch < job.spec.estimate;
+    const bool short_fetch = state_.fetch_time(job.spec, m.type) * kShortFetch < job.spec.estimate;
     const bool cached = short_fetch || m.images.contains(job.spec.image);
-    const bool near = !service || m.zone == cluster_.context.settings.zone;
+    const bool near = !service || m.zone == state_.context.settings.zone;
     candidates.push_back({{cached, near, (m.services > 0) == service, m.spot && job.spec.spot,
                            cached || service ? -r.free.cpu : r.free.cpu},
                           &r});
@@ -172,26 +172,26 @@
   std::stable_sort(candidates.begin(), candidates.end(),
                    [](const Candidate& a, const Candidate& b) { return a.key > b.key; });
   for (const Candidate& c : candidates) {
-    place(part, ranked, *c.room, per_zone);
+    place(shard, ranked, *c.room, per_zone);
     if (job.waiting.empty() || job.short_of_share || job.suspect()) return;
   }
 }
 
-bool Scheduler::sooner_where_cached(const Part& part, const Job& job, const std::vector<Room>& rooms,
+bool Scheduler::sooner_where_cached(const Shard& shard, const Job& job, const std::vector<Room>& rooms,
                                     const PerZone& per_zone) const {
   if (job.spec.shape != Shape::service || job.short_of_share) return false;
-  if (cluster_.context.wall - job.accepted > kStopTakes) return false;
+  if (state_.context.wall - job.accepted > kStopTakes) return false;
   bool can_make_room = false;
   for (const Room& room : rooms) {
     const Machine& m = *room.machine;
     if (!m.images.contains(job.spec.image) || !allowed(job, m, per_zone) || job.failed_on.contains(m.name))
       continue;
-    if (cluster_.fetch_time(job.spec, m.type) <= kStopTakes) return false;
+    if (state_.fetch_time(job.spec, m.type) <= kStopTakes) return false;
     Resources could = m.free() + room.coming;
     if (job.spec.each.fits_in(m.free())) return false;  // it goes there without any of this
     for (const auto& [id, p] : m.tasks) {
-      auto other = part.jobs.find(id.task.job);
-      if (p.wanted && p.takes_room() && other != part.jobs.end() &&
+      auto other = shard.jobs.find(id.task.job);
+      if (p.wanted && p.takes_room() && other != shard.jobs.end() &&
           other->second.spec.priority < job.spec.priority && other->second.spec.save <= kStopTakes)
         could += p.each;
     }
@@ -200,19 +200,19 @@
   return can_make_room;
 }
 
-void Scheduler::pass(Part& part) {
-  if (cluster_.now() < part.next_pass) return;
-  part.next_pass = cluster_.now() + kPassEvery;
-  rank(part);
-  if (part.queue.empty()) return;
-  std::vector<Room> free = rooms(part);
+void Scheduler::pass(Shard& shard) {
+  if (state_.now() < shard.next_pass) return;
+  shard.next_pass = state_.now() + kPassEvery;
+  rank(shard);
+  if (shard.queue.empty()) return;
+  std::vector<Room> free = rooms(shard);
   // What does not even hold the smallest task that waits is of no use to any.
   std::int64_t smallest = INT64_MAX;
-  for (const Ranked& r : part.queue) smallest = std::min(smallest, r.job->spec.each.cpu);
+  for (const Ranked& r : shard.queue) smallest = std::min(smallest, r.job->spec.each.cpu);
   auto useless = [&](const Room& r) { return r.free.cpu < smallest; };
   std::vector<Room> open = free;
   std::erase_if(open, useless);
-  const Losers may_lose = losers(part);
+  const Losers may_lose = losers(shard);
   auto may_make_room = [&](const Job& job) {
     if (may_lose.lowest < job.spec.priority) return true;
     const auto& over = may_lose.over_guarantee;
@@ -222,16 +222,16 @@
   std::int64_t coming = 0;
   if (!may_lose.over_guarantee.empty())
     for (const Room& r : free)
-      coming += (r.machine->coming_by(cluster_.now() + guarantee_within()) - r.machine->coming).cpu;
+      coming += (r.machine->coming_by(state_.now() + guarantee_within()) - r.machine->coming).cpu;
   int attempts = kMakingRoomPerPass;
-  for (const Ranked& r : part.queue) {
+  for (const Ranked& r : shard.queue) {
     Job& job = *r.job;
-    PerZone per_zone = zones_of(part, job);
-    job.only_where_cached =
-        attempts > 0 && may_lose.lowest < job.spec.priority && sooner_where_cached(part, job, free, per_zone);
-    if (!open.empty()) place_all(part, r, open, per_zone);
+    PerZone per_zone = zones_of(shard, job);
+    job.only_where_cached = attempts > 0 && may_lose.lowest < job.spec.priority &&
+                            sooner_where_cached(shard, job, free, per_zone);
+    if (!open.empty()) place_all(shard, r, open, per_zone);
     std::erase_if(open, useless);
-    if (!job.waiting.empty() && !quota_of(job.spec.each).fits_in(part.free_share(job.spec.team)))
+    if (!job.waiting.empty() && !quota_of(job.spec.each).fits_in(shard.free_share(job.spec.team)))
       job.short_of_share = true;
     // One that may be faulty itself needs room for one try, or with no machine left it would wait for ever.
     job.overflow = job.suspect() ? std::uint32_t{job.present == 0 && !job.waiting.empty()}
@@ -240,7 +240,7 @@
     if (job.overflow > 0 && attempts > 0 && may_make_room(job)) {
       --attempts;
       for (Room& room : free) room.free = room.machine->free();
-      make_room(part, r, free, per_zone, coming);
+      make_room(shard, r, free, per_zone, coming);
     }
   }
 }
@@ -248,13 +248,13 @@
 /// The time in which work within a guarantee is to start.
 Micros Scheduler::guarantee_within() const {
   Micros within{0};
-  for (const Objective& o : cluster_.context.settings.objectives)
+  for (const Objective& o : state_.context.settings.objectives)
     if (o.kind == "guarantee" && (within == Micros{0} || o.within < within)) within = o.within;
   return within;
 }
 
-void Scheduler::fill(Part& part, Machine& machine) {
-  if (part.queue.empty() || !fleet_.usable(machine)) return;
+void Scheduler::fill(Shard& shard, Machine& machine) {
+  if (shard.queue.empty() || !fleet_.usable(machine)) return;
   Room room{&machine, machine.free(), {}};
   // Among equals those go first whose image is here already.
   const Ranked* first = nullptr;
@@ -263,43 +263,43 @@
            std::tuple(first->job->spec.priority, first->lost, first->guaranteed);
   };
   for (const bool cached_only : {true, false})
-    for (const Ranked& r : part.queue) {
+    for (const Ranked& r : shard.queue) {
       const Job& job = *r.job;
-      if (!part.may_start(job, cluster_.now()) || job.failed_on.contains(machine.name)) continue;
+      if (!shard.may_start(job, state_.now()) || job.failed_on.contains(machine.name)) continue;
       if (first == nullptr) first = &r;
       if ((cached_only || job.only_where_cached) && !machine.images.contains(job.spec.image)) continue;
       if (cached_only && !equal(r)) continue;
       if (!job.spec.each.fits_in(room.free)) continue;
-      PerZone per_zone = zones_of(part, job);
-      place(part, r, room, per_zone);
+      PerZone per_zone = zones_of(shard, job);
+      place(shard, r, room, per_zone);
     }
 }
 
-Scheduler::Losers Scheduler::losers(const Part& part) const {
+Scheduler::Losers Scheduler::losers(const Shard& shard) const {
   Losers out;
-  for (const auto& [id, job] : part.jobs) {
+  for (const auto& [id, job] : shard.jobs) {
     if (job.present == 0) continue;
     out.lowest = std::min(out.lowest, job.spec.priority);
     const std::string& team = job.spec.team;
-    if (!out.over_guarantee.contains(team) && !part.used(team).fits_in(guarantee(part, team)))
+    if (!out.over_guarantee.contains(team) && !shard.used(team).fits_in(guarantee(shard, team)))
       out.over_guarantee.insert(team);
   }
   return out;
 }
 
-void Scheduler::make_room(Part& part, const Ranked& ranked, std::vector<Room>& rooms, const PerZone& per_zone,
-                          std::int64_t& coming) {
-  const Quota used_by_team = part.used(ranked.job->spec.team);
+void Scheduler::make_room(Shard& shard, const Ranked& ranked, std::vector<Room>& rooms,
+                          const PerZone& per_zone, std::int64_t& coming) {
+  const Quota used_by_team = shard.used(ranked.job->spec.team);
   const Job& job = *ranked.job;
   const Resources& each = job.spec.each;
-  const Quota spare = part.share(job.spec.team) - used_by_team;
+  const Quota spare = shard.share(job.spec.team) - used_by_team;
   // No more than may be started: otherwise two teams would stop each other's tasks in turn. Only its own
   // team's lesser tasks can make room in a share that is used up.
   const bool own_team_only = job.short_of_share;
   std::int64_t needed = std::min<std::int64_t>(
       {job.overflow, kStopsPerPass, own_team_only ? kStopsPerPass : spare.holds(quota_of(each))});
   std::int64_t within_guarantee =
-      std::min(needed, (guarantee(part, job.spec.team) - used_by_team).holds(quota_of(each)));
+      std::min(needed, (guarantee(shard, job.spec.team) - used_by_team).holds(quota_of(each)));
   // What can't keep its deadline does not come before others that can: room made for it would go to them, and
   // be made again. And what comes free in time need not be made.
   if (ranked.lost > 0) within_guarantee = 0;
@@ -316,15 +316,15 @@
     if (victim.spec.priority > job.spec.priority || victim.spec.team == job.spec.team) return false;
     if (!job.unrentable || within_guarantee <= 0) return false;
     auto [it, fresh] = left.try_emplace(victim.spec.team);
-    if (fresh) it->second = part.used(victim.spec.team);
-    return !it->second.fits_in(guarantee(part, victim.spec.team));
+    if (fresh) it->second = shard.used(victim.spec.team);
+    return !it->second.fits_in(guarantee(shard, victim.spec.team));
   };
   // Where the image is cached; else near, and on few machines, as they keep them for long.
   if (job.spec.shape == Shape::service)
     std::stable_sort(rooms.begin(), rooms.end(), [&](const Room& a, const Room& b) {
       auto key = [&](const Room& r) {
         return std::tuple(r.machine->images.contains(job.spec.image),
-                          r.machine->zone == cluster_.context.settings.zone, r.machine->services);
+                          r.machine->zone == state_.context.settings.zone, r.machine->services);
       };
       return key(a) > key(b);
     });
@@ -342,13 +342,13 @@
     take();
     std::vector<std::pair<const AttemptId*, Placement*>> victims;
     for (auto& [id, p] : r.machine->tasks) {
-      auto it = part.jobs.find(id.task.job);
-      if (p.wanted && p.takes_room() && it != part.jobs.end() && may_stop(it->second))
+      auto it = shard.jobs.find(id.task.job);
+      if (p.wanted && p.takes_room() && it != shard.jobs.end() && may_stop(it->second))
         victims.emplace_back(&id, &p);
     }
     std::sort(victims.begin(), victims.end(), [&](const auto& a, const auto& b) {
       auto key = [&](const auto& v) {
-        return std::tuple(part.jobs.at(v.first->task.job).spec.priority, -v.second->placed_at.count());
+        return std::tuple(shard.jobs.at(v.first->task.job).spec.priority, -v.second->placed_at.count());
       };
       return key(a) < key(b);
     });
@@ -357,29 +357,29 @@
     if (!each.fits_in(could)) continue;
     for (const auto& [id, p] : victims) {
       if (needed <= 0) return;
-      const Job& loser = part.jobs.at(id->task.job);
+      const Job& loser = shard.jobs.at(id->task.job);
       if (!may_stop(loser)) continue;
-      part.change(*r.machine, *id, *p, [](Placement& q) { q.wanted = false; });
-      part.push_to(*r.machine);
-      cluster_.context.debug([&, task = id->task] {
+      shard.change(*r.machine, *id, *p, [](Placement& q) { q.wanted = false; });
+      shard.push_to(*r.machine);
+      state_.context.debug([&, task = id->task] {
         return task.job + "/" + std::to_string(task.index) + " on " + r.machine->name + " makes room for " +
                job.spec.id + (loser.spec.priority < job.spec.priority ? "" : " (guarantee)");
       });
       r.coming += p->each;
-      left.try_emplace(loser.spec.team, part.used(loser.spec.team)).first->second -= quota_of(p->each);
+      left.try_emplace(loser.spec.team, shard.used(loser.spec.team)).first->second -= quota_of(p->each);
       take();
     }
   }
 }
 
-Scheduler::Offer Scheduler::offer(Part& part, const Call& call) const {
+Scheduler::Offer Scheduler::offer(Shard& shard, const Call& call) const {
   Offer out;
   // What a pass left free is of no use to our own tasks that wait; what comes free soon may be.
-  const bool ours_wait = std::any_of(part.jobs.begin(), part.jobs.end(), [&](const auto& j) {
+  const bool ours_wait = std::any_of(shard.jobs.begin(), shard.jobs.end(), [&](const auto& j) {
     return j.second.overflow > 0 && !j.second.short_of_share &&
            (!call.disclosed || j.second.spec.priority >= call.priority);
   });
-  Quota share = part.free_share(call.team) + call.spare;
+  Quota share = shard.free_share(call.team) + call.spare;
   std::int64_t within_share = share.holds(quota_of(call.each));
   if (within_share <= 0) return out;
   Job probe;
@@ -390,14 +390,14 @@
   std::int64_t now_room = 0, soon_room = 0;
   bool cached = false;
   const Micros soon = seconds(5);
-  for (auto& [name, m] : part.machines) {
+  for (auto& [name, m] : shard.machines) {
     if (!fleet_.usable(m) || !allowed(probe, m, {})) continue;
     const Resources free = m.free();
     const std::int64_t n = free.holds(call.each);
     now_room += n;
     cached |= n > 0 && m.images.contains(call.image);
     if (now_room < call.tasks && !ours_wait)
-      soon_room += (free + m.coming_by(cluster_.now() + soon)).holds(call.each) - n;
+      soon_room += (free + m.coming_by(state_.now() + soon)).holds(call.each) - n;
   }
   const std::int64_t now_offer = std::min({now_room, within_share, std::int64_t{call.tasks}});
   if (now_offer > 0) {
--- a/src/core/settings.h
+++ b/src/core/settings.h
@@ -28,7 +28,7 @@
   /// How long it waits then before it reports to the next controller (PROTOCOL).
   static constexpr Micros kWorkerRetry = seconds(1);
   /// How long a peer takes to acquire a part that is free.
-  static constexpr Micros kTakeOver = seconds(2);
+  static constexpr Micros kFailover = seconds(2);
 
   std::string host;
   std::string zone;
@@ -76,16 +76,16 @@
   /// it is short enough for them to report to the next holder before their lease is over, after waiting for
   /// the one that stands still. It is not shorter than half of either, as outages of the state service have
   /// to be borne.
-  Micros term() const {
+  Micros lease_term() const {
     const Micros longest{(cancel_within - worker_lease).count() * 2 / 3};
-    const Micros change_of_holder = kWorkerPatience + kWorkerRetry + kTakeOver;
-    const Micros before_workers_lease = worker_lease - report_every * 5 / 4 - change_of_holder;
+    const Micros failover_time = kWorkerPatience + kWorkerRetry + kFailover;
+    const Micros before_workers_lease = worker_lease - report_every * 5 / 4 - failover_time;
     return std::clamp(before_workers_lease, std::min(longest, worker_lease) / 2, longest);
   }
   /// The longest time from the moment at which a user is told that a job is cancelled until its last task is
   /// gone (docs/DESIGN.md): a controller that can't know acts on what it read before for a term, and a worker
   /// that nothing reaches runs on for its lease after the last answer that it got.
-  Micros cancelled_gone_within() const { return surely_over(term()) + surely_over(worker_lease); }
+  Micros cancelled_gone_within() const { return surely_over(lease_term()) + surely_over(worker_lease); }
 };
 
 }  // namespace bendtide
--- a/src/core/types.h
+++ b/src/core/types.h
@@ -142,8 +142,8 @@
   bool spot = false;
   std::uint64_t session = 0;
   std::uint64_t sequence = 0;
-  std::uint64_t token = 0;       ///< the highest the worker has seen
-  std::optional<Micros> notice;  ///< until the cloud takes the machine away
+  std::uint64_t fencing_token = 0;  ///< the highest the worker has seen
+  std::optional<Micros> notice;     ///< until the cloud takes the machine away
   std::vector<ReportedTask> tasks;
 };
 
--- a/src/wire/wire.cpp
+++ b/src/wire/wire.cpp
@@ -172,7 +172,7 @@
   r.spot = flag(v, kSpot, false);
   r.session = count(v, kSession);
   r.sequence = count(v, kSequence);
-  r.token = count(v, kToken);
+  r.fencing_token = count(v, kToken);
   if (find(v, kNotice) != nullptr) r.notice = span(v, kNotice);
   const json& tasks = need(v, kTasks);
   if (!tasks.is_array()) fail(kTasks, "must be a list");
@@ -310,9 +310,9 @@
     if (t.phase == TaskPhase::exited) row[kCause] = text_of(t.cause, kCauses);
     tasks.push_back(std::move(row));
   }
-  json v = {{kMachine, r.machine},   {kAddress, r.address}, {kType, r.type},
-            {kZone, r.zone},         {kSpot, r.spot},       {kSession, r.session},
-            {kSequence, r.sequence}, {kToken, r.token},     {kTasks, std::move(tasks)}};
+  json v = {{kMachine, r.machine},   {kAddress, r.address},     {kType, r.type},
+            {kZone, r.zone},         {kSpot, r.spot},           {kSession, r.session},
+            {kSequence, r.sequence}, {kToken, r.fencing_token}, {kTasks, std::move(tasks)}};
   if (r.notice) v[kNotice] = in_seconds(*r.notice);
   return v.dump();
 }
@@ -324,7 +324,7 @@
 }
 
 std::string body_of(const ReportReply& r) {
-  if (r.status == 200) return json{{kToken, r.token}, {kOrderList, orders_json(r.orders)}}.dump();
+  if (r.status == 200) return json{{kToken, r.fencing_token}, {kOrderList, orders_json(r.orders)}}.dump();
   if (!r.redirect.empty()) return json{{kRedirect, r.redirect}}.dump();
   return "{}";
 }
@@ -508,7 +508,7 @@
 
 HttpRequest request_of(const OrdersRequest& r) {
   return {"POST", kOrders,
-          json{{kToken, r.token}, {kSession, r.session}, {kOrderList, orders_json(r.orders)}}.dump()};
+          json{{kToken, r.fencing_token}, {kSession, r.session}, {kOrderList, orders_json(r.orders)}}.dump()};
 }
 
 OrdersAnswer orders_answer(int status, std::string_view body) {
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -28,15 +28,15 @@
           Proposal{9, 3, "node-1", 12, seconds(2), 730, 4711, {8000, 0}},
           Awarded{"node-1"},
           Progress{"node-0"},
-          HandBack{"node-2"},
+          FailbackRequest{"node-2"},
           Lend{"a", "b", "team", {1, 2}, seconds(3)},
           Ended{"run-1"},
           Scarce{"large", "east", true},
-          Wellbeing{true, 3},
-          Resign{"node-1",
-                 4711,
-                 true,
-                 {{"n-1", seconds(3), seconds(4), {{{"run-1", 2}, 5, TaskPhase::saving, {}}}}, {}}}};
+          PeerHealth{true, 3},
+          LeaseTransfer{"node-1",
+                        4711,
+                        true,
+                        {{"n-1", seconds(3), seconds(4), {{{"run-1", 2}, 5, TaskPhase::saving, {}}}}, {}}}};
 }
 
 TEST(Codec, EveryMessageIsReadBackTheSame) {
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -47,7 +47,7 @@
   EXPECT_EQ(s.peers.size(), 1u);
   EXPECT_EQ(s.teams.at(0).guarantee.cpu, 8500);
   // What a cancelled job can outlive its cancellation by stays below what is allowed.
-  EXPECT_LT(s.term() + s.worker_lease + seconds(5), s.cancel_within);
+  EXPECT_LT(s.lease_term() + s.worker_lease + seconds(5), s.cancel_within);
 }
 
 // A guest team comes with neither guarantee nor limit. It was once taken to be allowed nothing: every job got
@@ -88,9 +88,9 @@
        {std::tuple(22.0, 4.0, 52.0, 9.0, 11.0), std::tuple(26.5, 5.0, 46.5, 12.0, 13.4),
         std::tuple(12.0, 1.5, 42.0, 5.5, 6.5)}) {
     s.worker_lease = seconds(lease), s.report_every = seconds(report), s.cancel_within = seconds(cancel);
-    EXPECT_GE(s.term(), seconds(least)) << lease;
-    EXPECT_LE(s.term(), seconds(most)) << lease;
-    EXPECT_LT(s.term() + s.worker_lease + seconds(5), s.cancel_within) << lease;
+    EXPECT_GE(s.lease_term(), seconds(least)) << lease;
+    EXPECT_LE(s.lease_term(), seconds(most)) << lease;
+    EXPECT_LT(s.lease_term() + s.worker_lease + seconds(5), s.cancel_within) << lease;
   }
 }
 
@@ -124,8 +124,8 @@
       const Settings s = parse_settings(text);
       EXPECT_TRUE(c.taken) << c.lease << " " << c.cancel;
       EXPECT_LE(s.cancelled_gone_within(), s.cancel_within) << c.lease << " " << c.cancel;
-      EXPECT_GE(s.cancelled_gone_within(), s.term() + s.worker_lease);
-      EXPECT_GE(s.term(), millis(100)) << "the least that the state service takes";
+      EXPECT_GE(s.cancelled_gone_within(), s.lease_term() + s.worker_lease);
+      EXPECT_GE(s.lease_term(), millis(100)) << "the least that the state service takes";
     } catch (const ConfigError& e) {
       EXPECT_FALSE(c.taken) << e.what();
       EXPECT_TRUE(std::string(e.what()).starts_with("settings.workers.cancel_s")) << e.what();
--- a/tests/holdings_test.cpp
+++ b/tests/holdings_test.cpp
@@ -17,19 +17,19 @@
   for (const bool lease_ends : {true, false}) {
     HandAnswered t;
     t.context.settings.peers = {{"b", "z", "b:1"}};
-    Holdings holdings(
-        t.cluster, t.fleet, [](Part&) {}, [](const std::string&) {});
+    ShardLeases holdings(
+        t.state, t.fleet, [](Shard&) {}, [](const std::string&) {});
     StateAnswer lease;
     lease.outcome = Outcome::ok;
     lease.lease = 7;
     t.collect([&] { holdings.tick(); });
     ASSERT_TRUE(std::holds_alternative<StateLease>(t.calls.at(0).request));
     t.answer(0, lease);
-    t.collect([&] { holdings.on_resign({"b", 30, false, {}}); });
+    t.collect([&] { holdings.on_lease_transfer({"b", 30, false, {}}); });
     const std::size_t taking = t.calls.size() - 1;
     ASSERT_TRUE(std::holds_alternative<StateCommit>(t.calls.at(taking).request));
     if (lease_ends) {
-      t.context.now += t.context.settings.term() / 6;
+      t.context.now += t.context.settings.lease_term() / 6;
       t.collect([&] { holdings.tick(); });
       const auto renewal = std::find_if(t.calls.begin(), t.calls.end(), [](const StateCall& call) {
         return std::holds_alternative<StateRenew>(call.request);
@@ -43,11 +43,11 @@
         return std::holds_alternative<StateLease>(call.request);
       });
       lease.lease = 8;
-      t.collect([&] { t.cluster.store.on_answer(next->call, lease); });
-      ASSERT_TRUE(t.cluster.acting());
+      t.collect([&] { t.state.store.on_answer(next->call, lease); });
+      ASSERT_TRUE(t.state.lease_valid());
     }
     t.answer(taking, written(31));
-    EXPECT_EQ(t.cluster.parts.contains("b"), !lease_ends);
+    EXPECT_EQ(t.state.shards.contains("b"), !lease_ends);
   }
 }
 
--- a/tests/late_answer_test.cpp
+++ b/tests/late_answer_test.cpp
@@ -26,10 +26,10 @@
   ASSERT_EQ(t.replies.size(), 1u);
   EXPECT_EQ(t.replies[0].phase, JobPhase::cancelled);
   t.tick();
-  ASSERT_FALSE(t.part.jobs.contains(kTask.job));
+  ASSERT_FALSE(t.shard.jobs.contains(kTask.job));
 
   t.answer(0, written(20));
-  EXPECT_FALSE(t.part.jobs.contains(kTask.job));
+  EXPECT_FALSE(t.shard.jobs.contains(kTask.job));
   ASSERT_EQ(t.replies.size(), 2u);
   EXPECT_EQ(t.replies[1].status, 200);
   EXPECT_EQ(t.replies[1].phase, JobPhase::cancelled) << "nobody is told anything older";
@@ -39,15 +39,15 @@
 // list that was asked for before still shows it.
 TEST(LateAnswer, WithAnAwardDoesNotBringBackAJobThatItsOwnerCallsOver) {
   HandAnswered t;
-  Scheduler scheduler(t.cluster, t.fleet);
-  ContractNet net(t.cluster, scheduler, {[] {}});
+  Scheduler scheduler(t.state, t.fleet);
+  ContractNet net(t.state, scheduler, {[] {}});
   const records::Award award{"b", {{0, 1}}, {"b", HandAnswered::spec(), seconds(1'000'000)}};
   const StateRow row{records::award_key("a", kTask.job, 1), records::to_json(award), 19};
-  for (const bool is_over : {true, false}) {
-    if (is_over) net.on_ended({kTask.job});
-    net.load_awards(t.part, {row}, t.context.now);
-    EXPECT_EQ(t.part.jobs.contains(kTask.job), !is_over);
-    t.cluster.history = {};
+  for (const bool has_ended : {true, false}) {
+    if (has_ended) net.on_ended({kTask.job});
+    net.load_awards(t.shard, {row}, t.context.now);
+    EXPECT_EQ(t.shard.jobs.contains(kTask.job), !has_ended);
+    t.state.final_states = {};
   }
 }
 
@@ -57,7 +57,7 @@
   HandAnswered t;
   Job& job = t.add_job();
   job.owner = "b";
-  t.part.awards_known(t.context.now, seconds(10));
+  t.shard.awards_known(t.context.now, seconds(10));
   t.collect([&] { t.jobs.on_malformed(1, kTask.job, "a repeat"); });
   StateAnswer absent;
   absent.outcome = Outcome::absent;
@@ -74,9 +74,9 @@
   HandAnswered t;
   t.cancel();
   ASSERT_EQ(t.calls.size(), 1u);
-  t.part.taken_at = t.context.now + millis(1);
+  t.shard.acquired_at = t.context.now + millis(1);
   t.answer(0, live_record());
-  EXPECT_FALSE(t.part.jobs.contains(kTask.job));
+  EXPECT_FALSE(t.shard.jobs.contains(kTask.job));
   ASSERT_EQ(t.replies.size(), 1u);
   EXPECT_EQ(t.replies[0].status, 503);
 }
@@ -85,13 +85,13 @@
 TEST(LateAnswer, FromBeforeTheOldestRememberedEndIsNotActedOn) {
   HandAnswered t;
   const Micros asked = t.context.now;
-  JobHistory& history = t.cluster.history;
-  EXPECT_EQ(t.cluster.validity(t.part, kTask.job, asked), Validity::current);
-  for (std::size_t i = 0; i <= JobHistory::kRemembered; ++i)
-    history.learn_final("run-" + std::to_string(1000 + i), {}, asked + millis(1));
-  EXPECT_EQ(history.size(), JobHistory::kRemembered);
-  EXPECT_EQ(t.cluster.validity(t.part, kTask.job, asked), Validity::uncertain);
-  EXPECT_EQ(t.cluster.validity(t.part, kTask.job, asked + millis(2)), Validity::current);
+  FinalStates& final_states = t.state.final_states;
+  EXPECT_EQ(t.state.validity(t.shard, kTask.job, asked), Validity::current);
+  for (std::size_t i = 0; i <= FinalStates::kRemembered; ++i)
+    final_states.record_final("run-" + std::to_string(1000 + i), {}, asked + millis(1));
+  EXPECT_EQ(final_states.size(), FinalStates::kRemembered);
+  EXPECT_EQ(t.state.validity(t.shard, kTask.job, asked), Validity::uncertain);
+  EXPECT_EQ(t.state.validity(t.shard, kTask.job, asked + millis(2)), Validity::current);
 }
 
 // The second line of defence: the state service itself refuses a final state over another.
@@ -143,23 +143,23 @@
     HandAnswered t;
     Job& job = t.add_job();
     t.at<LogLine>(100.5, [&] { t.fleet.on_report(1, t.report(10, 1, 4, false)); });
-    t.part.place(t.machine(), {kTask, 7}, &job);
+    t.shard.place(t.machine(), {kTask, 7}, &job);
     job.leave_waiting(0, {Task::State::placed, &t.machine(), 7});
     const std::string now = what;
     if (now == "under way") job.finalizing = true;
-    if (now == "over") t.part.end(job);
+    if (now == "over") t.shard.end(job);
     if (now == "awarded and in doubt") {
       job.owner = "b";
-      t.part.awards_known(seconds(91), seconds(10));
+      t.shard.awards_known(seconds(91), seconds(10));
     }
-    if (now == "known to be over") t.cluster.history.learn_final(kTask.job, {}, t.context.now);
+    if (now == "known to be over") t.state.final_states.record_final(kTask.job, {}, t.context.now);
     const auto answers = t.at<AnswerWorker>(102, [&] { t.fleet.on_report(2, t.report(10, 1, 5, false)); });
     ASSERT_EQ(answers.size(), 1u);
     EXPECT_TRUE(answers[0].reply.orders.empty()) << what;
     t.machine().direct_call = false;
     t.machine().lost_orders = 1;  // so that it is asked directly
-    t.part.push_to(t.machine());
-    const auto calls = t.at<WorkerCall>(102.1, [&] { t.fleet.push_orders(t.part); });
+    t.shard.push_to(t.machine());
+    const auto calls = t.at<WorkerCall>(102.1, [&] { t.fleet.push_orders(t.shard); });
     ASSERT_EQ(calls.size(), 1u);
     EXPECT_TRUE(calls[0].request.orders.empty()) << what;
     EXPECT_EQ(t.context.invariants.total(), now == "known to be over" ? 1u : 0u);
--- a/tests/machine_test.cpp
+++ b/tests/machine_test.cpp
@@ -65,7 +65,7 @@
 // ours could have reached the worker. It once added up to a machine that is deleted though it is well.
 TEST(HeldReports, AndTheOrderLostInTheSameCutAreNoSignOfDeafness) {
   HeldPart t;
-  t.part.settle(t.machine(), true);
+  t.shard.settle(t.machine(), true);
   t.at<LogLine>(101.5, [&] { t.fleet.on_orders_answer(1, {OrdersAnswer::Outcome::lost, {}}); });
   t.at<LogLine>(111, [&] {
     for (std::uint64_t sequence = 4; sequence < 9; ++sequence)
@@ -82,7 +82,7 @@
     HeldPart t;
     Job& job = t.add_job();
     t.at<LogLine>(100.5, [&] { t.fleet.on_report(1, t.report(10, 1, 4, false)); });
-    t.part.place(t.machine(), {kTask, 7}, &job);
+    t.shard.place(t.machine(), {kTask, 7}, &job);
     job.leave_waiting(0, {Task::State::placed, &t.machine(), 7});
     t.at<LogLine>(101, [&] { t.fleet.on_report(2, t.report(10, 1, 5, false)); });
     t.at<LogLine>(next_report_at, [&] { t.fleet.on_report(3, t.report(10, 1, 6, false)); });
@@ -101,7 +101,7 @@
     t.at<LogLine>(moment - 4, [&] { t.fleet.on_orders_answer(call, {OrdersAnswer::Outcome::lost, {}}); });
     const auto calls = t.at<WorkerCall>(moment, [&] {
       t.fleet.on_report(call, t.report(10, 1, static_cast<std::uint64_t>(moment), false));
-      t.fleet.push_orders(t.part);
+      t.fleet.push_orders(t.shard);
     });
     EXPECT_EQ(t.machine().unreachable_signs, signs) << moment;
     ASSERT_EQ(calls.size(), 1u) << moment;
@@ -119,14 +119,14 @@
 // before: the job had been cancelled meanwhile.
 TEST(AwardsInDoubt, AreNeitherStartedNorKeptAlive) {
   HeldPart t;
-  Scheduler scheduler(t.cluster, t.fleet);
-  ContractNet net(t.cluster, scheduler, {[] {}});
+  Scheduler scheduler(t.state, t.fleet);
+  ContractNet net(t.state, scheduler, {[] {}});
   Job& job = t.add_job();
-  t.part.awards_known(seconds(100), seconds(10));
-  EXPECT_TRUE(t.part.may_start(job, seconds(200))) << "our own";
+  t.shard.awards_known(seconds(100), seconds(10));
+  EXPECT_TRUE(t.shard.may_start(job, seconds(200))) << "our own";
   job.owner = "b";
-  EXPECT_TRUE(t.part.may_start(job, seconds(109)));
-  EXPECT_FALSE(t.part.may_start(job, seconds(110)));
+  EXPECT_TRUE(t.shard.may_start(job, seconds(109)));
+  EXPECT_FALSE(t.shard.may_start(job, seconds(110)));
 
   t.at<AnswerWorker>(105, [&] { t.fleet.on_report(1, t.report(10, 1, 4, true)); });
   ASSERT_EQ(job.tasks[0].state, Task::State::placed);
@@ -134,7 +134,7 @@
     const double moment = step.first;
     const unsigned stops = step.second;
     const auto answers = t.at<AnswerWorker>(moment, [&] {
-      net.stop_doubtful(t.part, t.machine());
+      net.stop_doubtful(t.shard, t.machine());
       t.fleet.on_report(2, t.report(10, 1, static_cast<std::uint64_t>(moment), true));
     });
     ASSERT_EQ(answers.size(), 1u);
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -10,32 +10,32 @@
 
 /// A part with machines that are up, a catalogue and a cloud that is asked by hand.
 struct RentingPart : HeldPart {
-  Scheduler scheduler{cluster, fleet};
-  Renter renter{cluster, fleet};
+  Scheduler scheduler{state, fleet};
+  Renter renter{state, fleet};
 
   RentingPart() {
-    cluster.catalogue = {{"small", {8000, 0, 64000}, 50, 0.1, 0.5, 0.12, seconds(40), {"z"}}};
+    state.catalogue = {{"small", {8000, 0, 64000}, 50, 0.1, 0.5, 0.12, seconds(40), {"z"}}};
     context.settings.teams = {{"t", {8000, 0}, {80'000, 0}}, {"guests", {}, {80'000, 0}}};
-    part.shares = {{"t", {80'000, 0}}, {"guests", {80'000, 0}}};
-    part.machines.clear();
+    shard.shares = {{"t", {80'000, 0}}, {"guests", {80'000, 0}}};
+    shard.machines.clear();
   }
   /// Up, settled and heard a moment ago.
   Machine& add_machine(const std::string& name, bool spot = false) {
-    Machine& m = fleet.add(part, machine_of({name, "small", "z", spot, name + ":1", context.wall}), true);
+    Machine& m = fleet.add(shard, machine_of({name, "small", "z", spot, name + ":1", context.wall}), true);
     m.size = {8000, 0, 64000};
     m.heard = true;
     return m;
   }
   Machine& add_booting(const std::string& name, Micros rented_ago) {
     Machine& m =
-        fleet.add(part, machine_of({name, "small", "z", false, "", context.wall - rented_ago}), false);
+        fleet.add(shard, machine_of({name, "small", "z", false, "", context.wall - rented_ago}), false);
     m.size = {8000, 0, 64000};
     return m;
   }
   Job& add(const std::string& id, const std::string& team, Shape shape, Priority priority,
            std::uint32_t tasks) {
     records::LiveJob record;
-    record.part = "a";
+    record.shard = "a";
     record.accepted = context.wall;
     record.spec.id = id;
     record.spec.team = team;
@@ -48,19 +48,19 @@
     record.spec.image_gb = 2;
     record.spec.estimate = seconds(60);
     record.spec.spot = true;
-    return Jobs::load(part, record);
+    return Jobs::load(shard, record);
   }
   /// What is rented for tasks that no peer has room for.
   std::vector<CloudRent> rented() {
-    for (auto& [id, job] : part.jobs) job.refused = true;
+    for (auto& [id, job] : shard.jobs) job.refused = true;
     std::vector<CloudRent> out;
     for (const CloudCall& call : at<CloudCall>(in_seconds(context.now) + 1, [&] { renter.tick(); }))
       if (auto* rent = std::get_if<CloudRent>(&call.request)) out.push_back(*rent);
     return out;
   }
   void pass() {
-    part.changed();
-    scheduler.pass(part);
+    shard.changed();
+    scheduler.pass(shard);
   }
 };
 
--- a/tests/question_test.cpp
+++ b/tests/question_test.cpp
@@ -10,15 +10,15 @@
 
 /// A controller that is asked by users; the state service's and peers' answers are given by hand.
 struct AskedController : HeldPart {
-  Jobs jobs{cluster, {[](Part&) {}, [] {}}};
+  Jobs jobs{state, {[](Shard&) {}, [] {}}};
   std::uint64_t next_request = 1;
   std::vector<StateCall> reads;
-  std::vector<JobQuery> passed_on;
+  std::vector<JobQuery> redirected_heartbeats;
   std::vector<UserReply> answers;
 
   AskedController() {
     context.settings.peers = {{"b", "z", "b:1"}};
-    cluster.peers["b"].heard_at = context.now;
+    state.peers["b"].heard_at = context.now;
   }
   void collect(const std::function<void()>& what) {
     context.actions.clear();
@@ -27,7 +27,7 @@
       if (auto* call = std::get_if<StateCall>(&action)) reads.push_back(*call);
       if (auto* answer = std::get_if<AnswerUser>(&action)) answers.push_back(answer->reply);
       if (auto* send = std::get_if<PeerSend>(&action))
-        if (auto* query = std::get_if<JobQuery>(&send->message)) passed_on.push_back(*query);
+        if (auto* query = std::get_if<JobQuery>(&send->message)) redirected_heartbeats.push_back(*query);
     }
   }
   void poll(int times) {
@@ -38,7 +38,7 @@
   /// The state service answers the read sent last.
   void read_answered(const StateAnswer& answer) {
     const std::uint64_t call = reads.back().call;
-    collect([&] { cluster.store.on_answer(call, answer); });
+    collect([&] { state.store.on_answer(call, answer); });
   }
 };
 
@@ -50,7 +50,7 @@
 
 StateAnswer live() {
   records::LiveJob record;
-  record.part = "b";
+  record.shard = "b";
   record.spec.id = kTask.job;
   record.spec.tasks = 1;
   StateAnswer answer;
@@ -65,7 +65,7 @@
   t.poll(1000);
   EXPECT_EQ(t.answers.size(), 1000u);
   EXPECT_TRUE(t.reads.empty());
-  EXPECT_TRUE(t.passed_on.empty());
+  EXPECT_TRUE(t.redirected_heartbeats.empty());
 }
 
 // Users that ask eight times as often once caused eight times the reads.
@@ -86,17 +86,17 @@
 
 TEST(ManyQuestions, AboutAPeersJobShareOneQuestionToIt) {
   AskedController t;
-  t.cluster.routes["b"].host = "b";
+  t.state.routes["b"].host = "b";
   records::LiveJob record;
-  record.part = "b";
+  record.shard = "b";
   record.spec.id = kTask.job;
   t.jobs.learn(record);
   t.poll(100);
-  EXPECT_EQ(t.passed_on.size(), 1u);
-  t.collect([&] { t.jobs.on_reply({t.passed_on.back().id, 200, JobPhase::running, 0, 1}); });
+  EXPECT_EQ(t.redirected_heartbeats.size(), 1u);
+  t.collect([&] { t.jobs.on_reply({t.redirected_heartbeats.back().id, 200, JobPhase::running, 0, 1}); });
   EXPECT_EQ(t.answers.size(), 1u);
-  EXPECT_EQ(t.passed_on.size(), 2u);
-  t.collect([&] { t.jobs.on_reply({t.passed_on.back().id, 200, JobPhase::done, 1, 0}); });
+  EXPECT_EQ(t.redirected_heartbeats.size(), 2u);
+  t.collect([&] { t.jobs.on_reply({t.redirected_heartbeats.back().id, 200, JobPhase::done, 1, 0}); });
   EXPECT_EQ(t.answers.size(), 100u);
   EXPECT_TRUE(t.reads.empty());
 }
@@ -113,7 +113,8 @@
   EXPECT_EQ(t.answers[0].status, 404);
   t.read_answered(live());
   t.collect([&] {
-    for (const JobQuery& query : t.passed_on) t.jobs.on_reply({query.id, 503, JobPhase::pending, 0, 0});
+    for (const JobQuery& query : t.redirected_heartbeats)
+      t.jobs.on_reply({query.id, 503, JobPhase::pending, 0, 0});
   });
   ASSERT_EQ(t.answers.size(), 2u);
   EXPECT_EQ(t.answers[1].status, 200);
--- a/tests/sim/day.cpp
+++ b/tests/sim/day.cpp
@@ -151,7 +151,7 @@
   if (!node.up || node.life != life) return;
   on_node(node, life, [](Controller& c) { c.tick(); });
   if (node.up && node.life == life)
-    for (const auto& [name, part] : node.core->cluster().parts) wrong_sums_ += part.sums_hold() ? 0 : 1;
+    for (const auto& [name, shard] : node.core->state().shards) wrong_sums_ += shard.sums_hold() ? 0 : 1;
   after(millis(50), [this, &node, life] { tick(node, life); });
 }
 
@@ -401,7 +401,7 @@
               if (plan_.sabotage == Sabotage::start_anywhere && (!spec.zone || *spec.zone == other.zone))
                 continue;
               // The order must look right to the worker: its own token and session.
-              OrdersRequest order{other.name, 1, reply.token + 1'000'000, {o}};
+              OrdersRequest order{other.name, 1, reply.fencing_token + 1'000'000, {o}};
               other.worker->orders(wire::request_of(order).body, now_);
               break;
             }
@@ -614,7 +614,7 @@
 void Day::ask_as_operator() {
   using What = AdminRequest::What;
   for (auto& node : nodes_) {
-    for (const What what : {What::policy, What::parts, What::machines, What::jobs, What::negotiations})
+    for (const What what : {What::policy, What::shards, What::machines, What::jobs, What::negotiations})
       on_node(*node, node->life, [what, request = node->next_request++](Controller& c) {
         c.on_admin(request, {what, {}});
       });
@@ -662,7 +662,7 @@
   auto machines = [](const std::unique_ptr<Node>& n) {
     std::size_t all = 0;
     if (n->core)
-      for (const auto& [name, part] : n->core->cluster().parts) all += part.machines.size();
+      for (const auto& [name, shard] : n->core->state().shards) all += shard.machines.size();
     return all;
   };
   return **std::max_element(nodes_.begin(), nodes_.end(),
@@ -914,16 +914,16 @@
   for (const auto& node : nodes_)
     if (node->core)
       std::printf("%s\n%s\n%s\n%s\n", node->host.c_str(),
-                  overview::parts(node->core->cluster()).dump(1).c_str(),
-                  overview::jobs(node->core->cluster()).dump(1).c_str(),
-                  overview::machines(node->core->cluster()).dump(1).c_str());
+                  overview::shards(node->core->state()).dump(1).c_str(),
+                  overview::jobs(node->core->state()).dump(1).c_str(),
+                  overview::machines(node->core->state()).dump(1).c_str());
 }
 
 std::set<std::string> Day::passed_over() const {
   std::set<std::string> out;
   for (const auto& node : nodes_)
-    for (const auto& [name, part] : node->core->cluster().parts)
-      for (const auto& [id, job] : part.jobs)
+    for (const auto& [name, shard] : node->core->state().shards)
+      for (const auto& [id, job] : shard.jobs)
         if (job.overflow > 0 && !job.refused && !job.short_of_share) out.insert(id);
   return out;
 }
--- a/tests/sim/hand_answered.h
+++ b/tests/sim/hand_answered.h
@@ -7,14 +7,14 @@
 
 /// A controller whose calls to the state service are answered by hand, in any order.
 struct HandAnswered : HeldPart {
-  Jobs jobs{cluster, {[](Part&) {}, [] {}}};
+  Jobs jobs{state, {[](Shard&) {}, [] {}}};
   std::vector<StateCall> calls;
   std::vector<UserReply> replies;
 
   HandAnswered() {
     context.settings.teams = {{"t", {8000, 0}, {8000, 0}}};
-    cluster.catalogue = {{"small", {8000, 0, 64000}, 50, 1, 1, 1, seconds(10), {"z"}}};
-    cluster.routes["a"] = {"a", "life", 10, Micros{0}, true};
+    state.catalogue = {{"small", {8000, 0, 64000}, 50, 1, 1, 1, seconds(10), {"z"}}};
+    state.routes["a"] = {"a", "life", 10, Micros{0}, true};
   }
   static JobSpec spec() {
     JobSpec out;
@@ -42,7 +42,7 @@
     collect([&] { jobs.tick(); });
   }
   void answer(std::size_t call, const StateAnswer& with) {
-    collect([&] { cluster.store.on_answer(calls.at(call).call, with); });
+    collect([&] { state.store.on_answer(calls.at(call).call, with); });
   }
   const StateCommit& commit(std::size_t call) const { return std::get<StateCommit>(calls.at(call).request); }
 };
--- a/tests/sim/held_part.h
+++ b/tests/sim/held_part.h
@@ -26,34 +26,35 @@
   }
 
   Context context{settings(), {}, "life", std::mt19937_64(1), seconds(100), seconds(1'000'000), {}, {}};
-  Cluster cluster{context};
-  Fleet fleet{cluster, {[](Part&, Machine&) {}, [] {}}};
-  Part& part = cluster.parts["a"];
+  ControllerState state{context};
+  Fleet fleet{state, {[](Shard&, Machine&) {}, [] {}}};
+  Shard& shard = state.shards["a"];
 
   HeldPart() {
-    cluster.valid_until = seconds(10'000);
-    part.name = "a";
-    part.token = part.first_token = 10;
-    part.generation = 1;
-    part.taken_at = context.now;
+    state.lease_valid_until = seconds(10'000);
+    shard.name = "a";
+    shard.fencing_token = shard.first_fencing_token = 10;
+    shard.leadership_term = 1;
+    shard.acquired_at = context.now;
     const std::vector<records::ClaimedMachine> claimed{{"m", "small", "z", false, "m:1", {}}};
-    fleet.claims().load(part, {{records::claim_key("a", 0), records::to_json(claimed), 3}});
-    part.stage = Part::Stage::ready;
-    fleet.on_part_ready(part);
-    fleet.push_orders(part);
+    fleet.claims().load(shard, {{records::claim_key("a", 0), records::to_json(claimed), 3}});
+    shard.stage = Shard::Stage::ready;
+    fleet.on_shard_ready(shard);
+    fleet.push_orders(shard);
   }
   Job& add_job() {
     records::LiveJob record;
-    record.part = "a";
+    record.shard = "a";
     record.spec.id = kTask.job;
     record.spec.team = "t";
     record.spec.tasks = 1;
     record.spec.each = {1000, 0, 1};
-    return Jobs::load(part, record);
+    return Jobs::load(shard, record);
   }
-  Machine& machine() { return part.machines.at("m"); }
-  Report report(std::uint64_t token, std::uint64_t session, std::uint64_t sequence, bool with_task) const {
-    Report r{"m", "m:1", "small", "z", false, session, sequence, token, {}, {}};
+  Machine& machine() { return shard.machines.at("m"); }
+  Report report(std::uint64_t fencing_token, std::uint64_t session, std::uint64_t sequence,
+                bool with_task) const {
+    Report r{"m", "m:1", "small", "z", false, session, sequence, fencing_token, {}, {}};
     if (with_task) r.tasks = {{kTask, 7, TaskPhase::running, ExitCause::none}};
     return r;
   }
@@ -72,7 +73,7 @@
                        const Report& report) {
     at<LogLine>(moment, [&] {
       fleet.on_orders_answer(call, {outcome, report});
-      fleet.push_orders(part);
+      fleet.push_orders(shard);
     });
   }
 };
--- a/tests/sim/services.cpp
+++ b/tests/sim/services.cpp
@@ -283,7 +283,7 @@
   r.spot = machine_.spot;
   r.session = session_;
   r.sequence = ++sequence_;
-  r.token = token_;
+  r.fencing_token = token_;
   r.notice = notice_;
   for (const auto& [key, held] : tasks_) r.tasks.push_back({key.first, key.second, held.phase, held.cause});
   return r;
@@ -325,10 +325,10 @@
   reporting_ = false;
   if (sent_session_ != session_) return;
   const json v = json::parse(body);
-  const auto token = v.value(kToken, std::uint64_t{0});
-  if (token < token_) return;
-  if (token > token_) changed_ = true;
-  token_ = token;
+  const auto fencing_token = v.value(kToken, std::uint64_t{0});
+  if (fencing_token < token_) return;
+  if (fencing_token > token_) changed_ = true;
+  token_ = fencing_token;
   renewed_ = std::max(renewed_, sent_);
   execute(v.at(kOrderList), now);
 }
--- a/tests/size_test.cpp
+++ b/tests/size_test.cpp
@@ -31,9 +31,9 @@
 constexpr std::uint32_t kTasksOfAMachine = 4;
 
 /// One controller with machines that run arrays, its state service and cloud answering at once.
-class Cluster {
+class ControllerState {
  public:
-  explicit Cluster(int machines)
+  explicit ControllerState(int machines)
       : settings_(settings()),
         state_(settings_),
         cloud_({{"type", {8000, 0, 64000}, 50, 0.8, 0.5, 0.1, seconds(30), {"east", "west"}}},
@@ -65,8 +65,8 @@
   /// Parts that know what is on all their machines.
   std::size_t parts_settled() const {
     std::size_t n = 0;
-    for (const auto& [name, part] : core_->cluster().parts)
-      n += part.ready() && part.all_settled() && !part.unsettled_jobs ? 1 : 0;
+    for (const auto& [name, shard] : core_->state().shards)
+      n += shard.ready() && shard.all_settled() && !shard.unsettled_jobs ? 1 : 0;
     return n;
   }
   /// Another process in place of this one.
@@ -93,7 +93,7 @@
     r.zone = zone_of(name);
     r.session = 1;
     r.sequence = ++sequence_;
-    r.token = token_[name];
+    r.fencing_token = token_[name];
     r.tasks = tasks_[name];
     return r;
   }
@@ -160,8 +160,8 @@
     for (auto actions = core_->take_actions(now_); !actions.empty(); actions = core_->take_actions(now_))
       for (Action& action : actions) perform(action);
   }
-  void take(const std::string& name, std::uint64_t token, const std::vector<Order>& orders) {
-    token_[name] = std::max(token_[name], token);
+  void take(const std::string& name, std::uint64_t fencing_token, const std::vector<Order>& orders) {
+    token_[name] = std::max(token_[name], fencing_token);
     std::vector<ReportedTask>& held = tasks_[name];
     for (const Order& o : orders)
       if (o.kind == Order::Kind::start && std::none_of(held.begin(), held.end(), [&](const ReportedTask& t) {
@@ -180,11 +180,11 @@
       const Response r = cloud_.handle(wire::request_of(asked->request), now_);
       core_->on_cloud(asked->call, wire::cloud_answer(asked->request, r.status, r.body));
     } else if (auto* reply = std::get_if<AnswerWorker>(&action)) {
-      if (reply->reply.status == 200) take(reporting_, reply->reply.token, reply->reply.orders);
+      if (reply->reply.status == 200) take(reporting_, reply->reply.fencing_token, reply->reply.orders);
     } else if (auto* orders = std::get_if<WorkerCall>(&action)) {
       const std::string name = orders->request.address.substr(0, orders->request.address.find(':'));
       if (zone_of(name) == cut_zone) return core_->on_orders(orders->call, {});
-      take(name, orders->request.token, orders->request.orders);
+      take(name, orders->request.fencing_token, orders->request.orders);
       core_->on_orders(orders->call, {OrdersAnswer::Outcome::executed, report_of(name)});
     }
   }
@@ -206,43 +206,43 @@
 // given up.
 TEST(CutZone, KeepsItsMachines) {
   for (const bool restarted : {false, true}) {
-    Cluster cluster(60);
+    ControllerState state(60);
     for (int i = 0; i < 70; ++i) {
-      cluster.pass(1);
-      cluster.report_all();
+      state.pass(1);
+      state.report_all();
     }
     auto report_of_zone = [&](const std::string& zone, int first, int last) {
       for (int i = first; i < last; ++i)
-        if (Cluster::zone_of(cluster.machine(i)) == zone) cluster.report(cluster.machine(i));
+        if (ControllerState::zone_of(state.machine(i)) == zone) state.report(state.machine(i));
     };
-    cluster.cut_zone = "west";
+    state.cut_zone = "west";
     for (int i = 0; i < 45; ++i) {
-      cluster.pass(1);
-      if (i == 30 && restarted) cluster.restart();
+      state.pass(1);
+      if (i == 30 && restarted) state.restart();
       report_of_zone("east", 0, 60);
     }
-    cluster.cut_zone.clear();
+    state.cut_zone.clear();
     // The cut is over, and most of the zone's workers are heard before the others.
     report_of_zone("west", 0, 40);
-    cluster.pass(1);
+    state.pass(1);
     report_of_zone("west", 0, 40);
-    cluster.pass(3);
-    EXPECT_EQ(cluster.deleted(), 0u) << restarted;
+    state.pass(3);
+    EXPECT_EQ(state.deleted(), 0u) << restarted;
   }
 }
 
 // Its term may be over, and somebody else may have said more meanwhile.
 TEST(Standstill, NothingIsToldThatMayBeOutOfDate) {
-  Cluster cluster(30);
-  EXPECT_EQ(cluster.told_after(millis(10), 0), 200);
-  EXPECT_EQ(cluster.told_after(seconds(5), 0), 503);
+  ControllerState state(30);
+  EXPECT_EQ(state.told_after(millis(10), 0), 200);
+  EXPECT_EQ(state.told_after(seconds(5), 0), 503);
 }
 
 // Half again more than the largest fleet.
 constexpr int kSmall = 30, kLarge = 1700;
 
 TEST(Size, WhatOneEventCostsDoesNotGrow) {
-  Cluster small(kSmall), large(kLarge);
+  ControllerState small(kSmall), large(kLarge);
   ASSERT_EQ(small.running(), kSmall * kTasksOfAMachine);
   ASSERT_EQ(large.running(), kLarge * kTasksOfAMachine);
   const std::size_t report_small = small.allocations_of(30, [&](int i) { small.report(small.machine(i)); });
@@ -254,7 +254,7 @@
 }
 
 TEST(Size, ManyMachinesAreClaimedAndManyJobsAcceptedInFewCalls) {
-  Cluster large(kLarge);
+  ControllerState large(kLarge);
   // 1,700 machines in blocks of a value's size and 170 jobs, with the regular reading of twenty seconds.
   EXPECT_LE(large.state_calls(), 500u);
   EXPECT_EQ(large.too_large(), 0u);
@@ -262,7 +262,7 @@
 
 // A restarted process reads everything once, and tells every machine its token without waiting for reports.
 TEST(Size, ATakeOverIsReadInFewCalls) {
-  Cluster large(kLarge);
+  ControllerState large(kLarge);
   const std::size_t before = large.state_calls();
   large.restart();
   large.pass(3);
@@ -272,7 +272,7 @@
 
 // A pass looks at every job that waits, and at the machines only as far as they have room.
 TEST(Size, APassOverThousandsOfWaitingTasksGrowsNoFasterThanTheirJobs) {
-  Cluster large(kLarge);
+  ControllerState large(kLarge);
   auto of_a_pass = [&](int first, int jobs) {
     for (int i = 0; i < jobs; ++i) large.submit(first + i, 40);
     large.pass(1);
@@ -285,7 +285,7 @@
 
 // Machines for thousands of waiting tasks are rented in orders of the largest size, not one by one.
 TEST(Size, HundredsOfMachinesAreRentedInFewCalls) {
-  Cluster large(0);
+  ControllerState large(0);
   for (int i = 0; i < 100; ++i) large.submit(10'000 + i, 40);
   large.pass(30);
   EXPECT_GE(large.rented(), 900u);
