--- a/lab/controllers.cpp
+++ b/lab/controllers.cpp
@@ -88,8 +88,8 @@
         << "\ncpus_max = " << static_cast<double>(team.limit.cpu) * limit_factor / kPerCpu << "\n";
   out << "[settings.workers]\nreport_s = " << in_seconds(s.report_every)
       << "\nlease_s = " << in_seconds(s.worker_lease) << "\ncancel_s = " << in_seconds(s.cancel_within)
-      << "\n[settings.state]\nrps = " << s.state_calls_per_s << "\nwrite_rps = " << s.state_writes_per_s
-      << "\nvalue_kb = " << s.state_value_bytes / 1024 << "\ntxn_ops = " << s.state_transaction_writes
+      << "\n[settings.state]\nrps = " << s.store_requests_per_s << "\nwrite_rps = " << s.store_writes_per_s
+      << "\nvalue_kb = " << s.store_value_bytes / 1024 << "\ntxn_ops = " << s.store_transaction_writes
       << "\n[settings.cloud]\nrps = " << s.cloud_calls_per_s
       << "\nlist_lag_s = " << in_seconds(s.cloud_list_lag)
       << "\n[settings.machine_limits]\ncores = 1.0\nmemory_mb = 256.0\nsockets = " << s.sockets << "\n";
--- a/lab/laboratory.cpp
+++ b/lab/laboratory.cpp
@@ -11,10 +11,10 @@
   s.report_every = seconds(1);
   s.worker_lease = seconds(9);
   s.cancel_within = seconds(30);
-  s.state_calls_per_s = 300;
-  s.state_writes_per_s = 120;
-  s.state_value_bytes = 8 * 1024;
-  s.state_transaction_writes = 12;
+  s.store_requests_per_s = 300;
+  s.store_writes_per_s = 120;
+  s.store_value_bytes = 8 * 1024;
+  s.store_transaction_writes = 12;
   s.cloud_calls_per_s = 10;
   s.cloud_list_lag = seconds(1);
   s.sockets = 800;
--- a/src/app/config.cpp
+++ b/src/app/config.cpp
@@ -97,7 +97,7 @@
   if (s.host.find('/') != std::string::npos) top.fail("host_name", "must not contain '/'");
   const Section external = top.section("external");
   s.cloud_address = external.address("cloud");
-  s.state_address = external.address("state");
+  s.store_address = external.address("state");
 
   const Section settings = top.section("settings");
   s.zones = settings.names("zones");
@@ -138,10 +138,10 @@
   if (s.cancelled_gone_within() > s.cancel_within)
     workers.fail("cancel_s", "a cancelled task could not be gone in time: must be well above lease_s");
   const Section state = settings.section("state");
-  s.state_calls_per_s = state.positive("rps");
-  s.state_writes_per_s = state.positive("write_rps");
-  s.state_value_bytes = static_cast<std::size_t>(state.number("value_kb", 1, 1e6) * 1024);
-  s.state_transaction_writes = static_cast<std::size_t>(state.number("txn_ops", 4, 1e6));
+  s.store_requests_per_s = state.positive("rps");
+  s.store_writes_per_s = state.positive("write_rps");
+  s.store_value_bytes = static_cast<std::size_t>(state.number("value_kb", 1, 1e6) * 1024);
+  s.store_transaction_writes = static_cast<std::size_t>(state.number("txn_ops", 4, 1e6));
   const Section cloud = settings.section("cloud");
   s.cloud_calls_per_s = cloud.positive("rps");
   s.cloud_list_lag = seconds(cloud.number("list_lag_s", 0, 3600));
--- a/src/app/daemon.cpp
+++ b/src/app/daemon.cpp
@@ -44,7 +44,7 @@
     : settings_(settings),
       log_(std::move(log)),
       core_(settings, incarnation(), random_number()),
-      state_(loop_, settings.state_address, 8, kStateBody),
+      state_(loop_, settings.store_address, 8, kStateBody),
       cloud_(loop_, settings.cloud_address, 2, kCloudBody) {
   core_.write_debug_lines(log_->should_log(spdlog::level::debug));
   loop_.on_error = [this](const std::string& what) { log_->error("a task ended: {}", what); };
@@ -84,10 +84,12 @@
 void Daemon::perform(Action action) {
   struct Visitor {
     Daemon& d;
-    void operator()(StateCall& a) {
-      d.loop_.spawn(d.call_service<StateAnswer>(
-          d.state_, std::move(a.request), kStateWithin, Metrics::Kind::state, wire::state_answer,
-          [&core = d.core_, call = a.call](const StateAnswer& answer) { core.on_state(call, answer); }));
+    void operator()(StoreCall& a) {
+      d.loop_.spawn(d.call_service<StoreResponse>(
+          d.state_, std::move(a.request), kStateWithin, Metrics::Kind::state, wire::store_response,
+          [&core = d.core_, call = a.call](const StoreResponse& answer) {
+            core.on_store_response(call, answer);
+          }));
     }
     void operator()(CloudCall& a) {
       d.loop_.spawn(d.call_service<CloudAnswer>(
@@ -342,23 +344,23 @@
     const char* path;
     What what;
   };
-  static constexpr Row rows[] = {{"/admin/settings", What::policy},
-                                 {"/admin/parts", What::shards},
-                                 {"/admin/machines", What::machines},
-                                 {"/admin/jobs", What::jobs},
-                                 {"/admin/negotiations", What::negotiations}};
+  static constexpr Row entries[] = {{"/admin/settings", What::policy},
+                                    {"/admin/parts", What::shards},
+                                    {"/admin/machines", What::machines},
+                                    {"/admin/jobs", What::jobs},
+                                    {"/admin/negotiations", What::negotiations}};
   if (request.target == "/admin/metrics" && request.method == "GET") {
     metrics_.set_core(core_.invariants(), core_.state().answers_not_acted_on);
     co_return Reply{200, metrics_.text(), 0, "text/plain; version=0.0.4"};
   }
-  for (const Row& row : rows) {
-    if (request.target != row.path) continue;
-    AdminRequest asked{row.what, {}};
-    if (row.what == What::policy && request.method == "PATCH") {
+  for (const Row& entry : entries) {
+    if (request.target != entry.path) continue;
+    AdminRequest asked{entry.what, {}};
+    if (entry.what == What::policy && request.method == "PATCH") {
       asked = {What::change_policy, Value::parse(request.body, nullptr, false)};
       if (asked.body.is_discarded()) co_return error(400, "body: not JSON");
     } else if (request.method != "GET") {
-      co_return error(405, row.what == What::policy ? "GET or PATCH only" : "GET only");
+      co_return error(405, entry.what == What::policy ? "GET or PATCH only" : "GET only");
     }
     Event event = [&](std::uint64_t id) { core_.on_admin(id, asked); };
     co_return co_await ask(std::move(event), kAnswerWithin);
--- a/src/codec/codec.cpp
+++ b/src/codec/codec.cpp
@@ -184,7 +184,7 @@
 template <class A, class M>
 requires std::is_same_v<std::remove_const_t<M>, Proposal>
 void describe(A& a, M& m) {
-  a.fields(m.id, m.round, m.shard, m.tasks, m.start_delay, m.load_permille, m.room_stamp, m.free_share);
+  a.fields(m.id, m.round, m.shard, m.tasks, m.start_delay, m.load_permille, m.room_revision, m.free_share);
 }
 template <class A, class M>
 requires std::is_same_v<std::remove_const_t<M>, Awarded> ||
@@ -193,7 +193,7 @@
 void describe(A& a, M& m) { a.field(m.shard); }
 template <class A, class M>
 requires std::is_same_v<std::remove_const_t<M>, PeerHealth>
-void describe(A& a, M& m) { a.fields(m.state_answers, m.your_heartbeats); }
+void describe(A& a, M& m) { a.fields(m.store_responsive, m.your_heartbeats); }
 template <class A, class M>
 requires std::is_same_v<std::remove_const_t<M>, LeaseTransfer>
 void describe(A& a, M& m) {
--- a/src/core/calls.h
+++ b/src/core/calls.h
@@ -12,9 +12,9 @@
 using Value = nlohmann::json;  ///< a stored record; its layout is ours (core/records.h)
 
 // ---- state service -------------------------------------------------------------------------------
-struct Condition {
+struct Compare {
   std::string key;
-  std::uint64_t stamp = 0;  ///< 0: the key does not exist
+  std::uint64_t revision = 0;  ///< 0: the key does not exist
 };
 
 struct Write {
@@ -23,41 +23,41 @@
   std::uint64_t lease = 0;     ///< 0: not attached to a lease
 };
 
-struct StateGet {
+struct GetKey {
   std::string key;
 };
-struct StateList {
+struct ListPrefix {
   std::string prefix;
   std::string after;
 };
-struct StateCommit {
-  std::vector<Condition> conditions;
+struct Transaction {
+  std::vector<Compare> compares;
   std::vector<Write> writes;
 };
-struct StateLease {
+struct GrantLease {
   Micros term{0};
 };
-struct StateRenew {
+struct RenewLease {
   std::uint64_t lease = 0;
 };
-using StateRequest = std::variant<StateGet, StateList, StateCommit, StateLease, StateRenew>;
+using StoreRequest = std::variant<GetKey, ListPrefix, Transaction, GrantLease, RenewLease>;
 
-struct StateRow {
+struct KeyValue {
   std::string key;
   Value value;
-  std::uint64_t stamp = 0;
+  std::uint64_t revision = 0;
 };
 
-struct StateAnswer {
+struct StoreResponse {
   enum class Outcome : std::uint8_t {
     ok,
     absent,    ///< no such key or lease
     conflict,  ///< a condition did not hold
     refused,   ///< surely not executed
-    lost       ///< no answer: may have been executed, or may yet be
+    unknown    ///< no answer: may have been executed, or may yet be
   };
-  Outcome outcome = Outcome::lost;
-  std::vector<StateRow> rows;
+  Outcome outcome = Outcome::unknown;
+  std::vector<KeyValue> entries;
   bool more = false;
   std::uint64_t revision = 0;
   std::uint64_t lease = 0;
@@ -83,8 +83,8 @@
 using CloudRequest = std::variant<CloudCatalogue, CloudRent, CloudDelete, CloudList>;
 
 struct CloudAnswer {
-  enum class Outcome : std::uint8_t { ok, no_capacity, refused, lost };
-  Outcome outcome = Outcome::lost;
+  enum class Outcome : std::uint8_t { ok, no_capacity, refused, unknown };
+  Outcome outcome = Outcome::unknown;
   std::vector<MachineType> types;
   std::vector<std::string> names;
   std::vector<CloudMachine> machines;
@@ -101,8 +101,8 @@
 };
 
 struct OrdersAnswer {
-  enum class Outcome : std::uint8_t { executed, refused, lost };
-  Outcome outcome = Outcome::lost;
+  enum class Outcome : std::uint8_t { executed, refused, unknown };
+  Outcome outcome = Outcome::unknown;
   std::optional<Report> report;
 };
 
@@ -173,7 +173,7 @@
   std::uint32_t tasks = 0;  ///< 0: refusal
   Micros start_delay{0};
   std::uint32_t load_permille = 0;
-  std::uint64_t room_stamp = 0;
+  std::uint64_t room_revision = 0;
   Quota free_share;
 };
 /// Hints: the receiver reads the state service afresh, and believes nothing else.
@@ -194,7 +194,7 @@
 /// Said to every controller now and then: whether the state service answers the sender, and how many reports
 /// it got lately from machines that the receiver holds.
 struct PeerHealth {
-  bool state_answers = false;
+  bool store_responsive = false;
   std::uint32_t your_heartbeats = 0;
 };
 /// What may be on a machine that is silent, as far as the sender knows.
@@ -231,9 +231,9 @@
 // ---- actions -------------------------------------------------------------------------------------
 enum class LogLevel : std::uint8_t { error, info, debug };
 
-struct StateCall {
+struct StoreCall {
   std::uint64_t call = 0;
-  StateRequest request;
+  StoreRequest request;
 };
 struct CloudCall {
   std::uint64_t call = 0;
@@ -265,6 +265,6 @@
   std::string text;
 };
 using Action =
-    std::variant<StateCall, CloudCall, WorkerCall, PeerSend, AnswerUser, AnswerWorker, AnswerAdmin, LogLine>;
+    std::variant<StoreCall, CloudCall, WorkerCall, PeerSend, AnswerUser, AnswerWorker, AnswerAdmin, LogLine>;
 
 }  // namespace bendtide
--- a/src/core/claims.cpp
+++ b/src/core/claims.cpp
@@ -2,7 +2,7 @@
 
 namespace bendtide {
 
-using Outcome = StateAnswer::Outcome;
+using Outcome = StoreResponse::Outcome;
 
 namespace {
 
@@ -80,17 +80,17 @@
 
 /// The homes' records come first in key order: they are at most older than the blocks read with them, and
 /// then the next write fails.
-void Claims::learn(const std::vector<StateRow>& rows) {
-  home_stamps_.clear();
+void Claims::learn(const std::vector<KeyValue>& entries) {
+  home_revisions_.clear();
   shard_of_.clear();
-  for (const StateRow& row : rows) {
-    const auto key = records::split_key(row.key);
+  for (const KeyValue& entry : entries) {
+    const auto key = records::split_key(entry.key);
     if (key.size() != 3) continue;
     if (key[1] == records::kHomes) {
-      home_stamps_[key[2]] = row.stamp;
+      home_revisions_[key[2]] = entry.revision;
       continue;
     }
-    if (auto claims = records::claims(row.value))
+    if (auto claims = records::claims(entry.value))
       for (const records::ClaimedMachine& c : *claims) shard_of_[c.name] = key[1];
   }
   // What was claimed or is gone since, or is not written yet.
@@ -102,9 +102,9 @@
   }
 }
 
-void Claims::add_block(Shard& shard, std::uint32_t number, const StateRow& row, bool settled) const {
-  shard.claim_blocks[number].stamp = row.stamp;
-  auto claims = records::claims(row.value);
+void Claims::add_block(Shard& shard, std::uint32_t number, const KeyValue& entry, bool settled) const {
+  shard.claim_blocks[number].revision = entry.revision;
+  auto claims = records::claims(entry.value);
   if (!claims) return;
   for (const records::ClaimedMachine& c : *claims) {
     Machine m = machine_of(c);
@@ -113,17 +113,17 @@
   }
 }
 
-void Claims::load(Shard& shard, const std::vector<StateRow>& rows) {
-  learn(rows);
-  for (const StateRow& row : rows)
-    if (auto number = block_of(row.key, shard.name)) add_block(shard, *number, row, false);
+void Claims::load(Shard& shard, const std::vector<KeyValue>& entries) {
+  learn(entries);
+  for (const KeyValue& entry : entries)
+    if (auto number = block_of(entry.key, shard.name)) add_block(shard, *number, entry, false);
 }
 
 void Claims::relearn() {
   reading_ = true;
   doubted_ = false;
   next_reading_ = state_.now() + kReadEvery;
-  state_.store.list(records::kClaimPrefix, [this](const StateAnswer& a) {
+  state_.store.list(records::kClaimPrefix, [this](const StoreResponse& a) {
     reading_ = false;
     if (!a.ok()) {
       doubted_ = true;
@@ -132,19 +132,19 @@
     // Blocks of ours that we don't know: a write of ours without answer was made after all.
     for (auto& [name, shard] : state_.shards) {
       if (!shard.ready()) continue;
-      for (const StateRow& row : a.rows) {
-        const auto number = block_of(row.key, name);
+      for (const KeyValue& entry : a.entries) {
+        const auto number = block_of(entry.key, name);
         if (!number) continue;
         auto block = shard.claim_blocks.find(*number);
         if (block == shard.claim_blocks.end())
-          add_block(shard, *number, row, true);
-        else if (std::exchange(block->second.in_doubt, false))
-          block->second.stamp = row.stamp;
+          add_block(shard, *number, entry, true);
+        else if (std::exchange(block->second.outcome_unknown, false))
+          block->second.revision = entry.revision;
       }
       // A block in doubt that is not there is no more: its removal was made.
-      std::erase_if(shard.claim_blocks, [](const auto& b) { return b.second.in_doubt; });
+      std::erase_if(shard.claim_blocks, [](const auto& b) { return b.second.outcome_unknown; });
     }
-    learn(a.rows);
+    learn(a.entries);
     for (auto& [shard, machines] : wanted_)
       std::erase_if(machines, [&](const Machine& m) {
         return shard_of_.contains(m.name) && wanted_names_.erase(m.name) > 0;
@@ -167,33 +167,34 @@
     Machine& m = wanted->second.front();
     bytes += records::claim_bytes(record_of(m));
     homes.insert(home_shard(m.name, m.zone));
-    if (!batch.empty() && bytes > s.state_value_bytes * 9 / 10) break;
+    if (!batch.empty() && bytes > s.store_value_bytes * 9 / 10) break;
     value.push_back(record_of(m));
     batch.push_back(std::move(m));
     wanted->second.pop_front();
   }
   const std::uint32_t block = shard.claim_blocks.empty() ? 0 : shard.claim_blocks.rbegin()->first + 1;
-  StateCommit txn;
-  txn.conditions = {state_.fenced_by(shard), {records::claim_key(shard.name, block), 0}};
-  txn.writes = {{records::claim_key(shard.name, block), records::to_json(value), 0}};
+  Transaction transaction;
+  transaction.compares = {state_.fenced_by(shard), {records::claim_key(shard.name, block), 0}};
+  transaction.writes = {{records::claim_key(shard.name, block), records::to_json(value), 0}};
   for (const std::string& home : homes) {
-    txn.conditions.push_back({records::home_key(home), home_stamps_[home]});
-    txn.writes.push_back({records::home_key(home), Value(shard.name), 0});
+    transaction.compares.push_back({records::home_key(home), home_revisions_[home]});
+    transaction.writes.push_back({records::home_key(home), Value(shard.name), 0});
   }
   writing_ = true;
-  state_.store.commit(std::move(txn), [this, name = shard.name, leadership_term = shard.leadership_term,
-                                       block, homes, batch = std::move(batch)](const StateAnswer& a) mutable {
-    writing_ = false;
-    on_written(name, leadership_term, block, std::move(batch), homes, a);
-  });
+  state_.store.commit(std::move(transaction),
+                      [this, name = shard.name, leadership_term = shard.leadership_term, block, homes,
+                       batch = std::move(batch)](const StoreResponse& a) mutable {
+                        writing_ = false;
+                        on_written(name, leadership_term, block, std::move(batch), homes, a);
+                      });
 }
 
 void Claims::on_written(const std::string& name, std::uint64_t leadership_term, std::uint32_t block,
                         std::vector<Machine> batch, const std::set<std::string>& homes,
-                        const StateAnswer& a) {
+                        const StoreResponse& a) {
   Shard* shard = state_.shard_in_term(name, leadership_term);
   if (a.ok()) {
-    for (const std::string& home : homes) home_stamps_[home] = a.revision;
+    for (const std::string& home : homes) home_revisions_[home] = a.revision;
     for (Machine& m : batch) {
       wanted_names_.erase(m.name);
       shard_of_[m.name] = name;
@@ -201,7 +202,7 @@
       // Nobody used these machines before they were claimed: nothing unknown can be on them.
       if (shard != nullptr) hooks_.claimed(*shard, m, true);
     }
-    if (shard != nullptr) shard->claim_blocks[block].stamp = a.revision;
+    if (shard != nullptr) shard->claim_blocks[block].revision = a.revision;
     hooks_.learned();
     return;
   }
@@ -230,16 +231,17 @@
     bool removed;
     std::vector<std::string> up;  ///< machines whose address it names
   };
-  StateCommit txn;
-  txn.conditions = {state_.fenced_by(shard)};
+  Transaction transaction;
+  transaction.compares = {state_.fenced_by(shard)};
   std::vector<Written> written;
   for (auto& [number, block] : shard.claim_blocks) {
-    if (!(block.urgent || (block.dirty && !urgent_only)) || block.writing || block.in_doubt) continue;
+    if (!(block.urgent || (block.dirty && !urgent_only)) || block.writing || block.outcome_unknown) continue;
     if (written.size() >= kBlocksPerWrite) break;
     const std::vector<records::ClaimedMachine> left = machines_of(shard, number);
     const std::string key = records::claim_key(shard.name, number);
-    txn.conditions.push_back({key, block.stamp});
-    txn.writes.push_back({key, left.empty() ? std::nullopt : std::optional(records::to_json(left)), 0});
+    transaction.compares.push_back({key, block.revision});
+    transaction.writes.push_back(
+        {key, left.empty() ? std::nullopt : std::optional(records::to_json(left)), 0});
     Written& w = written.emplace_back(Written{number, left.empty(), {}});
     for (const records::ClaimedMachine& m : left)
       if (!m.address.empty()) w.up.push_back(m.name);
@@ -249,8 +251,8 @@
   if (written.empty()) return;
   (urgent_only ? next_urgent_ : next_rewrite_) = state_.now() + (urgent_only ? kUrgentEvery : kRewriteEvery);
   state_.store.commit(
-      std::move(txn),
-      [this, name = shard.name, leadership_term = shard.leadership_term, written](const StateAnswer& a) {
+      std::move(transaction),
+      [this, name = shard.name, leadership_term = shard.leadership_term, written](const StoreResponse& a) {
         Shard* p = state_.shard_in_term(name, leadership_term);
         if (p == nullptr) return;
         for (const Written& w : written) {
@@ -258,10 +260,10 @@
           block.writing = false;
           if (!a.ok()) {
             block.dirty = block.urgent = true;
-            block.in_doubt = a.outcome != Outcome::refused;
+            block.outcome_unknown = a.outcome != Outcome::refused;
             continue;
           }
-          block.stamp = a.revision;
+          block.revision = a.revision;
           for (const std::string& machine : w.up)
             if (auto m = p->machines.find(machine); m != p->machines.end()) m->second.in_use = true;
           if (w.removed && !block.dirty && !block.urgent) p->claim_blocks.erase(w.block);
@@ -269,7 +271,7 @@
         p->changed();
         if (!a.ok() && a.outcome != Outcome::refused) doubt();
       },
-      urgent_only ? Store::Rank::normal : Store::Rank::later);
+      urgent_only ? KeyValueClient::RequestPriority::normal : KeyValueClient::RequestPriority::low);
 }
 
 }  // namespace bendtide
--- a/src/core/claims.h
+++ b/src/core/claims.h
@@ -38,7 +38,7 @@
   /// Reads all claims once more, before long.
   void doubt() { doubted_ = true; }
   /// All claims, as read for a part that is being loaded: its machines are added, not settled.
-  void load(Shard& shard, const std::vector<StateRow>& rows);
+  void load(Shard& shard, const std::vector<KeyValue>& entries);
   void on_shard_lost(const std::string& shard);
 
   const std::string* shard_of(const std::string& machine) const {
@@ -49,20 +49,20 @@
   std::string home_shard(const std::string& machine, const std::string& zone) const;
 
  private:
-  void learn(const std::vector<StateRow>& rows);
-  void add_block(Shard& shard, std::uint32_t number, const StateRow& row, bool settled) const;
+  void learn(const std::vector<KeyValue>& entries);
+  void add_block(Shard& shard, std::uint32_t number, const KeyValue& entry, bool settled) const;
   void relearn();
   void write_new(Shard& shard);
   void on_written(const std::string& shard, std::uint64_t leadership_term, std::uint32_t block,
-                  std::vector<Machine> batch, const std::set<std::string>& homes, const StateAnswer& a);
+                  std::vector<Machine> batch, const std::set<std::string>& homes, const StoreResponse& a);
   void rewrite(Shard& shard, bool urgent_only);
   std::vector<records::ClaimedMachine> machines_of(const Shard& shard, std::uint32_t block) const;
 
   ControllerState& state_;
   Hooks hooks_;
-  std::map<std::string, std::string> shard_of_;        ///< machine -> part
-  std::map<std::string, std::uint64_t> home_stamps_;   ///< as of the reading that shard_of_ is from
-  std::map<std::string, std::deque<Machine>> wanted_;  ///< by part
+  std::map<std::string, std::string> shard_of_;          ///< machine -> part
+  std::map<std::string, std::uint64_t> home_revisions_;  ///< as of the reading that shard_of_ is from
+  std::map<std::string, std::deque<Machine>> wanted_;    ///< by part
   std::set<std::string> wanted_names_;
   bool writing_ = false;
   bool reading_ = false;
--- a/src/core/cluster.h
+++ b/src/core/cluster.h
@@ -12,7 +12,7 @@
 struct ShardRoute {
   std::string host;
   std::string incarnation;
-  std::uint64_t stamp = 0;
+  std::uint64_t revision = 0;
   Micros absent_since{0};
   bool ever_held = false;
 };
@@ -20,7 +20,7 @@
 /// What a peer last said of itself.
 struct PeerState {
   Micros heard_at{-1};
-  bool state_answers = false;
+  bool store_responsive = false;
   Micros our_workers_at{-1};  ///< when it last got reports that were for us
 };
 
@@ -33,7 +33,7 @@
 
 struct ControllerState {
   Context& context;
-  Store store;
+  KeyValueClient store;
   std::vector<MachineType> catalogue;
   std::map<std::string, Shard> shards;       ///< held by this controller
   std::map<std::string, ShardRoute> routes;  ///< of all parts
@@ -124,7 +124,7 @@
     return agrees;
   }
 
-  Condition fenced_by(const Shard& p) const { return {records::lease_key(p.name), p.fencing_token}; }
+  Compare fenced_by(const Shard& p) const { return {records::lease_key(p.name), p.fencing_token}; }
 };
 
 }  // namespace bendtide
--- a/src/core/contract.cpp
+++ b/src/core/contract.cpp
@@ -2,7 +2,7 @@
 
 namespace bendtide {
 
-using Outcome = StateAnswer::Outcome;
+using Outcome = StoreResponse::Outcome;
 
 namespace {
 
@@ -63,7 +63,7 @@
   if (state_.now() < shard.awards_good_until) return;
   for (auto& [id, p] : m.tasks) {
     auto it = shard.jobs.find(id.task.job);
-    if (!p.wanted || it == shard.jobs.end() || !shard.in_doubt(it->second, state_.now())) continue;
+    if (!p.wanted || it == shard.jobs.end() || !shard.award_is_stale(it->second, state_.now())) continue;
     shard.change(m, id, p, [](Placement& q) { q.wanted = false; });
     state_.context.debug([&m, task = id.task] {
       return task.job + "/" + std::to_string(task.index) + " is not wanted on " + m.name +
@@ -77,7 +77,7 @@
 /// write of a job removes all its awards at once.
 bool ContractNet::may_be_awarded(const Job& job) const {
   return job.owner.empty() && !job.spec.needs_one_decider() &&
-         job.awards.size() + 3 <= state_.context.settings.state_transaction_writes;
+         job.awards.size() + 3 <= state_.context.settings.store_transaction_writes;
 }
 
 // ---- the initiator -------------------------------------------------------------------------------
@@ -173,7 +173,7 @@
   // Hard limits: some tasks, and a room version to hold the award against.
   std::vector<Proposal> feasible;
   for (const auto& [name, p] : n.proposals)
-    if (may_be_awarded(job) && p.tasks > 0 && p.tasks <= n.call.tasks && p.room_stamp != 0)
+    if (may_be_awarded(job) && p.tasks > 0 && p.tasks <= n.call.tasks && p.room_revision != 0)
       feasible.push_back(p);
   std::sort(feasible.begin(), feasible.end(), [&](const Proposal& a, const Proposal& b) {
     return std::pair(score(a), a.shard) < std::pair(score(b), b.shard);
@@ -234,7 +234,7 @@
 }
 
 void ContractNet::award(Shard& shard, Job& job, const Proposal& best) {
-  if (shard.room_busy || shard.room_stale || shard.room_stamp == 0) return;
+  if (shard.room_busy || shard.room_stale || shard.room_revision == 0) return;
   const Quota each = quota_of(job.spec.each);
   Quota spare = shard.free_share(job.spec.team);
   spare = {std::max<std::int64_t>(0, spare.cpu), std::max<std::int64_t>(0, spare.gpu)};
@@ -259,7 +259,7 @@
     job.leave_waiting(job.waiting.back(), {Task::State::elsewhere, nullptr, 0});
   }
   // The record has to stay below the size of a value.
-  const std::size_t most_ranges = state_.context.settings.state_value_bytes / 2 / kRangeBytes;
+  const std::size_t most_ranges = state_.context.settings.store_value_bytes / 2 / kRangeBytes;
   std::vector<std::pair<std::uint32_t, std::uint32_t>> ranges = ranges_of(move.tasks);
   while (ranges.size() > most_ranges) {
     for (std::uint32_t i = 0; i < ranges.back().second; ++i) {
@@ -270,60 +270,61 @@
   }
   job.offered += static_cast<std::uint32_t>(move.tasks.size());
   const records::Award record{shard.name, std::move(ranges), {shard.name, job.spec, job.accepted}};
-  commit_move(shard, move, Write{move.key, records::to_json(record), 0}, best.room_stamp);
+  commit_move(shard, move, Write{move.key, records::to_json(record), 0}, best.room_revision);
 }
 
 void ContractNet::commit_move(Shard& shard, const Move& move, const std::optional<Write>& award,
-                              std::uint64_t other_stamp) {
+                              std::uint64_t other_revision) {
   shard.room_busy = true;
   shard.lending[move.team] += move.moved;
-  const Condition holds = state_.fenced_by(shard);
-  state_.store.get(records::room_key(move.to), [this, move, award, other_stamp, holds](const StateAnswer& a) {
-    Shard* p = state_.shard_in_term(move.shard, move.leadership_term);
-    if (p == nullptr) return;
-    std::optional<records::Room> other;
-    if (a.ok() && !a.rows.empty()) other = records::room(a.rows.front().value);
-    // The room offered is the room of that version; any other has been awarded to somebody
-    // meanwhile.
-    if (!other || (other_stamp != 0 && a.rows.front().stamp != other_stamp)) {
-      ++counters_.conflicts;
-      // Its holder may not know: the word of an award to it can be lost.
-      if (other) send(move.to, Awarded{move.to});
-      return settle_move(move, false);
-    }
-    other->shares[move.team] += move.moved;
-    records::Room own{p->shares};
-    own.shares[move.team] -= move.moved;
-    StateCommit txn;
-    txn.conditions = {holds,
-                      {records::room_key(p->name), p->room_stamp},
-                      {records::room_key(move.to), a.rows.front().stamp}};
-    txn.writes = {{records::room_key(p->name), records::to_json(own), 0},
-                  {records::room_key(move.to), records::to_json(*other), 0}};
-    if (award) {
-      // Nothing of a job that is over is awarded, whatever its owner believes.
-      txn.conditions.push_back({records::job_key(move.job), 0});
-      txn.conditions.push_back({move.key, 0});
-      txn.writes.push_back(*award);
-    }
-    state_.store.commit(std::move(txn), [this, move](const StateAnswer& b) {
-      Shard* q = state_.shard_in_term(move.shard, move.leadership_term);
-      if (q == nullptr) return;
-      if (b.ok()) {
-        q->room_stamp = b.revision;
-        settle_move(move, true);
-      } else if (b.outcome == Outcome::lost) {
-        find_out(*q, move);
-      } else {
-        if (b.outcome == Outcome::conflict) {
-          ++counters_.conflicts;
-          q->room_stale = true;
-          hooks_.invalidate_leases();
-        }
-        settle_move(move, false);
-      }
-    });
-  });
+  const Compare holds = state_.fenced_by(shard);
+  state_.store.get(records::room_key(move.to),
+                   [this, move, award, other_revision, holds](const StoreResponse& a) {
+                     Shard* p = state_.shard_in_term(move.shard, move.leadership_term);
+                     if (p == nullptr) return;
+                     std::optional<records::Room> other;
+                     if (a.ok() && !a.entries.empty()) other = records::room(a.entries.front().value);
+                     // The room offered is the room of that version; any other has been awarded to somebody
+                     // meanwhile.
+                     if (!other || (other_revision != 0 && a.entries.front().revision != other_revision)) {
+                       ++counters_.conflicts;
+                       // Its holder may not know: the word of an award to it can be lost.
+                       if (other) send(move.to, Awarded{move.to});
+                       return settle_move(move, false);
+                     }
+                     other->shares[move.team] += move.moved;
+                     records::Room own{p->shares};
+                     own.shares[move.team] -= move.moved;
+                     Transaction transaction;
+                     transaction.compares = {holds,
+                                             {records::room_key(p->name), p->room_revision},
+                                             {records::room_key(move.to), a.entries.front().revision}};
+                     transaction.writes = {{records::room_key(p->name), records::to_json(own), 0},
+                                           {records::room_key(move.to), records::to_json(*other), 0}};
+                     if (award) {
+                       // Nothing of a job that is over is awarded, whatever its owner believes.
+                       transaction.compares.push_back({records::job_key(move.job), 0});
+                       transaction.compares.push_back({move.key, 0});
+                       transaction.writes.push_back(*award);
+                     }
+                     state_.store.commit(std::move(transaction), [this, move](const StoreResponse& b) {
+                       Shard* q = state_.shard_in_term(move.shard, move.leadership_term);
+                       if (q == nullptr) return;
+                       if (b.ok()) {
+                         q->room_revision = b.revision;
+                         settle_move(move, true);
+                       } else if (b.outcome == Outcome::unknown) {
+                         find_out(*q, move);
+                       } else {
+                         if (b.outcome == Outcome::conflict) {
+                           ++counters_.conflicts;
+                           q->room_stale = true;
+                           hooks_.invalidate_leases();
+                         }
+                         settle_move(move, false);
+                       }
+                     });
+                   });
 }
 
 void ContractNet::settle_move(const Move& move, bool applied) {
@@ -358,22 +359,22 @@
 void ContractNet::find_out(Shard& shard, const Move& move) {
   // No answer: the write may have been made, or be made later. It compares our room record, so rewriting
   // that record makes sure that it is made now or never.
-  state_.store.get(records::room_key(shard.name), [this, move](const StateAnswer& a) {
+  state_.store.get(records::room_key(shard.name), [this, move](const StoreResponse& a) {
     Shard* p = state_.shard_in_term(move.shard, move.leadership_term);
     if (p == nullptr) return;
-    auto room = a.ok() && !a.rows.empty() ? records::room(a.rows.front().value) : std::nullopt;
+    auto room = a.ok() && !a.entries.empty() ? records::room(a.entries.front().value) : std::nullopt;
     if (!room) return find_out_later(move);
-    StateCommit txn;
-    txn.conditions = {state_.fenced_by(*p), {records::room_key(p->name), a.rows.front().stamp}};
-    txn.writes = {{records::room_key(p->name), records::to_json(*room), 0}};
-    state_.store.commit(std::move(txn), [this, move, shares = room->shares](const StateAnswer& b) {
+    Transaction transaction;
+    transaction.compares = {state_.fenced_by(*p), {records::room_key(p->name), a.entries.front().revision}};
+    transaction.writes = {{records::room_key(p->name), records::to_json(*room), 0}};
+    state_.store.commit(std::move(transaction), [this, move, shares = room->shares](const StoreResponse& b) {
       Shard* q = state_.shard_in_term(move.shard, move.leadership_term);
       if (q == nullptr) return;
       if (!b.ok()) {
         hooks_.invalidate_leases();
         return find_out_later(move);
       }
-      q->room_stamp = b.revision;
+      q->room_revision = b.revision;
       auto conclude = [this, move, shares](bool applied) {
         Shard* r = state_.shard_in_term(move.shard, move.leadership_term);
         if (r == nullptr) return;
@@ -387,7 +388,7 @@
         conclude(false);
         return;
       }
-      state_.store.get(move.key, [this, move, conclude](const StateAnswer& c) {
+      state_.store.get(move.key, [this, move, conclude](const StoreResponse& c) {
         if (c.ok() || c.outcome == Outcome::absent) return conclude(c.ok());
         find_out_later(move);
       });
@@ -404,7 +405,8 @@
 void ContractNet::on_lend(const Lend& lend) {
   Shard* shard = state_.ready_shard(lend.from);
   if (shard == nullptr || lend.to == lend.from || !state_.routes.contains(lend.to)) return;
-  if (shard->room_busy || shard->room_stale || shard->room_stamp == 0 || !shard->shares.contains(lend.team))
+  if (shard->room_busy || shard->room_stale || shard->room_revision == 0 ||
+      !shard->shares.contains(lend.team))
     return;
   const Quota unused = shard->free_share(lend.team);
   Quota free = unused;
@@ -447,7 +449,7 @@
       p.tasks = offer.tasks;
       p.start_delay = offer.delay;
       p.load_permille = static_cast<std::uint32_t>(std::clamp<std::int64_t>(used * 1000 / size, 0, 1000));
-      p.room_stamp = shard.room_stamp;
+      p.room_revision = shard.room_revision;
     }
     state_.context.act(PeerSend{state_.leader_of(call.from_shard), p});
   }
@@ -464,19 +466,20 @@
 
 void ContractNet::read_room(Shard& shard) {
   shard.room_busy = true;
-  state_.store.get(records::room_key(shard.name),
-                   [this, name = shard.name, leadership_term = shard.leadership_term](const StateAnswer& a) {
-                     Shard* p = state_.shard_in_term(name, leadership_term);
-                     if (p == nullptr) return;
-                     p->room_busy = false;
-                     if (!a.ok() || a.rows.empty()) return;
-                     auto room = records::room(a.rows.front().value);
-                     if (!room || a.rows.front().stamp < p->room_stamp) return;
-                     p->shares = room->shares;
-                     p->room_stamp = a.rows.front().stamp;
-                     p->room_stale = false;
-                     p->changed();
-                   });
+  state_.store.get(
+      records::room_key(shard.name),
+      [this, name = shard.name, leadership_term = shard.leadership_term](const StoreResponse& a) {
+        Shard* p = state_.shard_in_term(name, leadership_term);
+        if (p == nullptr) return;
+        p->room_busy = false;
+        if (!a.ok() || a.entries.empty()) return;
+        auto room = records::room(a.entries.front().value);
+        if (!room || a.entries.front().revision < p->room_revision) return;
+        p->shares = room->shares;
+        p->room_revision = a.entries.front().revision;
+        p->room_stale = false;
+        p->changed();
+      });
 }
 
 void ContractNet::read_awards(Shard& shard) {
@@ -485,17 +488,17 @@
   shard.next_awards = state_.now() + kReadEvery;
   state_.store.list(records::award_prefix(shard.name), [this, name = shard.name,
                                                         leadership_term = shard.leadership_term,
-                                                        asked = state_.now()](const StateAnswer& a) {
+                                                        asked = state_.now()](const StoreResponse& a) {
     Shard* p = state_.shard_in_term(name, leadership_term);
     if (p == nullptr) return;
     p->reading_awards = false;
     if (!a.ok()) return;
     p->awards_known(asked, state_.context.settings.lease_term());
     p->changed();
-    load_awards(*p, a.rows, asked);
+    load_awards(*p, a.entries, asked);
     // What is no longer awarded to us is over: done, or cancelled by its owner.
     std::set<std::string> current;
-    for (const StateRow& row : a.rows) current.insert(row.key);
+    for (const KeyValue& entry : a.entries) current.insert(entry.key);
     for (auto& [id, job] : p->jobs)
       if (!job.owner.empty() && std::none_of(job.awards.begin(), job.awards.end(), [&](const auto& award) {
             return current.contains(award.first);
@@ -504,10 +507,10 @@
   });
 }
 
-void ContractNet::load_awards(Shard& shard, const std::vector<StateRow>& rows, Micros asked) {
-  for (const StateRow& row : rows) {
-    const auto key = records::split_key(row.key);
-    auto award = records::award(row.value);
+void ContractNet::load_awards(Shard& shard, const std::vector<KeyValue>& entries, Micros asked) {
+  for (const KeyValue& entry : entries) {
+    const auto key = records::split_key(entry.key);
+    auto award = records::award(entry.value);
     if (key.size() != 4 || !award) continue;
     const std::string& winner = key[1];
     if (winner != shard.name && award->owner != shard.name) continue;
@@ -528,14 +531,14 @@
         it = shard.jobs.emplace(id, std::move(job)).first;
       }
       Job& job = it->second;
-      if (job.owner.empty() || !job.awards.emplace(row.key, winner).second) continue;
+      if (job.owner.empty() || !job.awards.emplace(entry.key, winner).second) continue;
       shard.changed();
       for (const auto& [first, count] : award->ranges)
         for (std::uint32_t i = first; i < first + count && i < job.tasks.size(); ++i)
           if (job.tasks[i].state == Task::State::elsewhere) job.set_waiting(i);
     } else if (it != shard.jobs.end()) {
       Job& job = it->second;
-      if (!job.awards.emplace(row.key, winner).second) continue;
+      if (!job.awards.emplace(entry.key, winner).second) continue;
       for (const auto& [first, count] : award->ranges)
         for (std::uint32_t i = first; i < first + count && i < job.tasks.size(); ++i)
           if (job.tasks[i].state == Task::State::waiting)
@@ -555,26 +558,26 @@
   if (shard.reading_progress) return;
   shard.reading_progress = true;
   shard.next_progress = state_.now() + kReadEvery;
-  state_.store.list(records::kDonePrefix,
-                    [this, name = shard.name, leadership_term = shard.leadership_term](const StateAnswer& a) {
-                      Shard* p = state_.shard_in_term(name, leadership_term);
-                      if (p == nullptr) return;
-                      p->reading_progress = false;
-                      if (a.ok()) load_progress(*p, a.rows, false);
-                    });
+  state_.store.list(records::kDonePrefix, [this, name = shard.name,
+                                           leadership_term = shard.leadership_term](const StoreResponse& a) {
+    Shard* p = state_.shard_in_term(name, leadership_term);
+    if (p == nullptr) return;
+    p->reading_progress = false;
+    if (a.ok()) load_progress(*p, a.entries, false);
+  });
 }
 
-void ContractNet::load_progress(Shard& shard, const std::vector<StateRow>& rows, bool own_too) {
-  for (const StateRow& row : rows) {
-    const auto key = records::split_key(row.key);
+void ContractNet::load_progress(Shard& shard, const std::vector<KeyValue>& entries, bool own_too) {
+  for (const KeyValue& entry : entries) {
+    const auto key = records::split_key(entry.key);
     if (key.size() != 3) continue;
     const bool own = key[1] == shard.name;
     if (own && !own_too) continue;
-    auto done = records::done(row.value);
+    auto done = records::done(entry.value);
     DoneSlot* slot = nullptr;
     if (own) {
       slot = &shard.done_slots[static_cast<std::uint32_t>(std::strtoul(key[2].c_str(), nullptr, 10))];
-      slot->stamp = row.stamp;
+      slot->revision = entry.revision;
     }
     if (!done) continue;
     for (const records::DoneBits& d : *done) {
--- a/src/core/contract.h
+++ b/src/core/contract.h
@@ -27,9 +27,9 @@
   void stop_doubtful(Shard& shard, Machine& m);
   /// Applies the award records of a part when it is loaded.
   /// `asked`: when they were asked for.
-  void load_awards(Shard& shard, const std::vector<StateRow>& rows, Micros asked);
+  void load_awards(Shard& shard, const std::vector<KeyValue>& entries, Micros asked);
   /// The end of finished tasks as other parts recorded it.
-  void load_progress(Shard& shard, const std::vector<StateRow>& rows, bool own_too);
+  void load_progress(Shard& shard, const std::vector<KeyValue>& entries, bool own_too);
 
   struct Counters {
     std::uint64_t calls = 0, rounds = 0, awards = 0, conflicts = 0, infeasible = 0, shares_moved = 0;
@@ -66,7 +66,7 @@
     std::vector<std::uint32_t> tasks;
   };
   void commit_move(Shard& shard, const Move& move, const std::optional<Write>& award,
-                   std::uint64_t room_stamp_of_other);
+                   std::uint64_t room_revision_of_other);
   void settle_move(const Move& move, bool applied);
   void find_out(Shard& shard, const Move& move);
   void find_out_later(const Move& move);
--- a/src/core/controller.cpp
+++ b/src/core/controller.cpp
@@ -4,7 +4,7 @@
 
 namespace bendtide {
 
-using Outcome = StateAnswer::Outcome;
+using Outcome = StoreResponse::Outcome;
 
 namespace {
 
@@ -46,7 +46,7 @@
     what();
   }
   shard_leases_.tick();
-  state_.store.pump();
+  state_.store.send_queued();
   if (context_.now >= next_policy_) read_policy();
   if (context_.now >= next_scheduling_) {
     next_scheduling_ = context_.now + kSchedulingInterval;
@@ -115,10 +115,10 @@
 
 void Controller::read_policy() {
   next_policy_ = context_.now + kPolicyEvery;
-  state_.store.get(records::kPolicyKey, [this](const StateAnswer& a) {
-    if (!a.ok() || a.rows.empty()) return;
+  state_.store.get(records::kPolicyKey, [this](const StoreResponse& a) {
+    if (!a.ok() || a.entries.empty()) return;
     Policy next;
-    if (!Policy::apply(next, a.rows.front().value)) context_.policy = next;
+    if (!Policy::apply(next, a.entries.front().value)) context_.policy = next;
   });
 }
 
@@ -152,22 +152,22 @@
 
 void Controller::change_policy(std::uint64_t request, const Value& fields) {
   // Read, change, and write on condition that nobody else has changed it meanwhile.
-  state_.store.get(records::kPolicyKey, [this, request, fields](const StateAnswer& a) {
+  state_.store.get(records::kPolicyKey, [this, request, fields](const StoreResponse& a) {
     auto unavailable = [this, request] {
       context_.act(AnswerAdmin{request, 503, {{"error", "the state service did not confirm; read again"}}});
     };
     if (!a.ok() && a.outcome != Outcome::absent) return unavailable();
     Policy next;
-    const std::uint64_t stamp = a.rows.empty() ? 0 : a.rows.front().stamp;
-    if (stamp != 0) Policy::apply(next, a.rows.front().value);
+    const std::uint64_t revision = a.entries.empty() ? 0 : a.entries.front().revision;
+    if (revision != 0) Policy::apply(next, a.entries.front().value);
     if (auto problem = Policy::apply(next, fields)) {
       context_.act(AnswerAdmin{request, 400, {{"error", *problem}}});
       return;
     }
-    StateCommit txn;
-    txn.conditions = {{records::kPolicyKey, stamp}};
-    txn.writes = {{records::kPolicyKey, Policy::to_json(next), 0}};
-    state_.store.commit(std::move(txn), [this, request, next, unavailable](const StateAnswer& b) {
+    Transaction transaction;
+    transaction.compares = {{records::kPolicyKey, revision}};
+    transaction.writes = {{records::kPolicyKey, Policy::to_json(next), 0}};
+    state_.store.commit(std::move(transaction), [this, request, next, unavailable](const StoreResponse& b) {
       if (!b.ok()) return unavailable();
       context_.policy = next;
       context_.info("operators changed the settings: " + Policy::to_json(next).dump());
@@ -186,17 +186,17 @@
   };
   struct Gathered {
     Micros asked{0};
-    std::vector<StateRow> live, claims, awards, done;
+    std::vector<KeyValue> live, claims, awards, done;
     int missing = 4;
     bool failed = false;
   };
   auto gathered = std::make_shared<Gathered>();
   gathered->asked = state_.now();
   auto collect = [this, gathered, retry, name = shard.name,
-                  leadership_term = shard.leadership_term](std::vector<StateRow> Gathered::*into) {
-    return [this, gathered, retry, name, leadership_term, into](const StateAnswer& a) {
+                  leadership_term = shard.leadership_term](std::vector<KeyValue> Gathered::*into) {
+    return [this, gathered, retry, name, leadership_term, into](const StoreResponse& a) {
       if (a.ok())
-        (*gathered).*into = a.rows;
+        (*gathered).*into = a.entries;
       else
         gathered->failed = true;
       if (--gathered->missing > 0) return;
@@ -212,13 +212,13 @@
   state_.store.list(records::kDonePrefix, collect(&Gathered::done));
 }
 
-void Controller::loaded(Shard& shard, Micros asked, const std::vector<StateRow>& live,
-                        const std::vector<StateRow>& claims, const std::vector<StateRow>& awards,
-                        const std::vector<StateRow>& done) {
+void Controller::loaded(Shard& shard, Micros asked, const std::vector<KeyValue>& live,
+                        const std::vector<KeyValue>& claims, const std::vector<KeyValue>& awards,
+                        const std::vector<KeyValue>& done) {
   // An earlier holder may have started anything on its machines.
   fleet_.claims().load(shard, claims);
-  for (const StateRow& row : live) {
-    auto record = records::live_job(row.value);
+  for (const KeyValue& entry : live) {
+    auto record = records::live_job(entry.value);
     if (!record) continue;
     jobs_.learn(*record);
     if (record->shard == shard.name && state_.may_act_on(shard, record->spec.id, asked))
@@ -238,40 +238,40 @@
       if (Shard* p = state_.shard_in_term(name, leadership_term)) make_room_record(*p);
     });
   };
-  state_.store.get(
-      records::room_key(shard.name),
-      [this, again, name = shard.name, leadership_term = shard.leadership_term](const StateAnswer& a) {
-        Shard* p = state_.shard_in_term(name, leadership_term);
-        if (p == nullptr) return;
-        if (a.ok() && !a.rows.empty()) {
-          auto room = records::room(a.rows.front().value);
-          if (!room) return again();
-          p->shares = room->shares;
-          p->room_stamp = a.rows.front().stamp;
-          p->stage = Shard::Stage::ready;
-          context_.info("part " + name + " is ready: " + std::to_string(p->jobs.size()) + " jobs, " +
-                        std::to_string(p->machines.size()) + " machines");
-          fleet_.on_shard_ready(*p);
-          renter_.on_shard_ready(*p);
-          return;
-        }
-        if (a.outcome != Outcome::absent) return again();
-        // The first holder ever: an equal share of every limit, the first part with what is left over, so
-        // that they sum to the limit.
-        records::Room room;
-        const auto shards = static_cast<std::int64_t>(context_.settings.controllers());
-        const bool first = name == state_.routes.begin()->first;
-        auto share = [&](std::int64_t limit) { return limit / shards + (first ? limit % shards : 0); };
-        for (const Team& team : context_.settings.teams)
-          room.shares[team.name] = {share(team.limit.cpu), share(team.limit.gpu)};
-        StateCommit txn;
-        txn.conditions = {state_.fenced_by(*p), {records::room_key(name), 0}};
-        txn.writes = {{records::room_key(name), records::to_json(room), 0}};
-        state_.store.commit(std::move(txn), [this, again, name, leadership_term](const StateAnswer& b) {
-          Shard* q = state_.shard_in_term(name, leadership_term);
-          b.ok() && q != nullptr ? make_room_record(*q) : again();
-        });
-      });
+  state_.store.get(records::room_key(shard.name), [this, again, name = shard.name,
+                                                   leadership_term =
+                                                       shard.leadership_term](const StoreResponse& a) {
+    Shard* p = state_.shard_in_term(name, leadership_term);
+    if (p == nullptr) return;
+    if (a.ok() && !a.entries.empty()) {
+      auto room = records::room(a.entries.front().value);
+      if (!room) return again();
+      p->shares = room->shares;
+      p->room_revision = a.entries.front().revision;
+      p->stage = Shard::Stage::ready;
+      context_.info("part " + name + " is ready: " + std::to_string(p->jobs.size()) + " jobs, " +
+                    std::to_string(p->machines.size()) + " machines");
+      fleet_.on_shard_ready(*p);
+      renter_.on_shard_ready(*p);
+      return;
+    }
+    if (a.outcome != Outcome::absent) return again();
+    // The first holder ever: an equal share of every limit, the first part with what is left over, so
+    // that they sum to the limit.
+    records::Room room;
+    const auto shards = static_cast<std::int64_t>(context_.settings.controllers());
+    const bool first = name == state_.routes.begin()->first;
+    auto share = [&](std::int64_t limit) { return limit / shards + (first ? limit % shards : 0); };
+    for (const Team& team : context_.settings.teams)
+      room.shares[team.name] = {share(team.limit.cpu), share(team.limit.gpu)};
+    Transaction transaction;
+    transaction.compares = {state_.fenced_by(*p), {records::room_key(name), 0}};
+    transaction.writes = {{records::room_key(name), records::to_json(room), 0}};
+    state_.store.commit(std::move(transaction), [this, again, name, leadership_term](const StoreResponse& b) {
+      Shard* q = state_.shard_in_term(name, leadership_term);
+      b.ok() && q != nullptr ? make_room_record(*q) : again();
+    });
+  });
 }
 
 }  // namespace bendtide
--- a/src/core/controller.h
+++ b/src/core/controller.h
@@ -26,7 +26,9 @@
   void on_poll(std::uint64_t request, const std::string& id) { jobs_.on_poll(request, id); }
   void on_cancel(std::uint64_t request, const std::string& id) { jobs_.on_cancel(request, id); }
   void on_report(std::uint64_t request, const Report& report) { fleet_.on_report(request, report); }
-  void on_state(std::uint64_t call, const StateAnswer& answer) { state_.store.on_answer(call, answer); }
+  void on_store_response(std::uint64_t call, const StoreResponse& answer) {
+    state_.store.on_answer(call, answer);
+  }
   void on_cloud(std::uint64_t call, const CloudAnswer& answer) { renter_.on_answer(call, answer); }
   void on_orders(std::uint64_t call, const OrdersAnswer& answer) { fleet_.on_orders_answer(call, answer); }
   void on_admin(std::uint64_t request, const AdminRequest& asked);
@@ -47,9 +49,9 @@
  private:
   void load(Shard& shard);
   /// `asked`: when the records were asked for.
-  void loaded(Shard& shard, Micros asked, const std::vector<StateRow>& live,
-              const std::vector<StateRow>& claims, const std::vector<StateRow>& awards,
-              const std::vector<StateRow>& done);
+  void loaded(Shard& shard, Micros asked, const std::vector<KeyValue>& live,
+              const std::vector<KeyValue>& claims, const std::vector<KeyValue>& awards,
+              const std::vector<KeyValue>& done);
   void make_room_record(Shard& shard);
   void read_policy();
   void change_policy(std::uint64_t request, const Value& fields);
--- a/src/core/fleet_commands.cpp
+++ b/src/core/fleet_commands.cpp
@@ -38,7 +38,8 @@
 /// And an award that was last read too long ago may have been taken back: direct commands once went out for
 /// it as an outage ended, before anything else had looked.
 bool Fleet::may_send_start(Shard& shard, Job* job, const AttemptId& id) {
-  if (job == nullptr || job->ended || job->finalizing || shard.in_doubt(*job, state_.now())) return false;
+  if (job == nullptr || job->ended || job->finalizing || shard.award_is_stale(*job, state_.now()))
+    return false;
   if (!state_.final_states.has_ended(id.task.job)) return true;
   state_.context.violated(Invariant::finished_job_stays_off,
                           id.task.job + "/" + std::to_string(id.task.index) + " attempt " +
@@ -159,14 +160,14 @@
     auto p = m.tasks.find(id);
     if (p == m.tasks.end()) continue;
     --p->second.direct_in_flight;
-    if (answer.outcome == OrdersAnswer::Outcome::lost) {
+    if (answer.outcome == OrdersAnswer::Outcome::unknown) {
       // It may be executed at any later time under this token: raise it, and wait for the worker to show
       // that.
       p->second.pinned_by = std::max(p->second.pinned_by, direct.fencing_token);
       shard->advance_token_soon = true;
     }
   }
-  if (answer.outcome == OrdersAnswer::Outcome::lost) {
+  if (answer.outcome == OrdersAnswer::Outcome::unknown) {
     m.order_lost = m.settled;
     if (m.told_at == direct.sent_at) m.told_at.reset();
   }
@@ -182,7 +183,7 @@
     }
     clear_unreachable_signs(m);  // executed or refused, the order was read there
   }
-  if (answer.outcome != OrdersAnswer::Outcome::lost && urgent(m)) shard->push_to(m);
+  if (answer.outcome != OrdersAnswer::Outcome::unknown && urgent(m)) shard->push_to(m);
 }
 
 }  // namespace bendtide
--- a/src/core/holdings.cpp
+++ b/src/core/holdings.cpp
@@ -2,7 +2,7 @@
 
 namespace bendtide {
 
-using Outcome = StateAnswer::Outcome;
+using Outcome = StoreResponse::Outcome;
 
 namespace {
 
@@ -52,13 +52,13 @@
   for (const Peer& peer : state_.context.settings.peers)
     state_.context.act(PeerSend{
         peer.host,
-        PeerHealth{state_.store.answers(), std::exchange(state_.redirected_heartbeats[peer.host], 0)}});
+        PeerHealth{state_.store.responsive(), std::exchange(state_.redirected_heartbeats[peer.host], 0)}});
 }
 
 void ShardLeases::on_peer_health(const std::string& host, const PeerHealth& health) {
   PeerState& peer = state_.peers[host];
   peer.heard_at = state_.now();
-  peer.state_answers = health.state_answers;
+  peer.store_responsive = health.store_responsive;
   if (health.your_heartbeats > 0) peer.our_workers_at = state_.now();
 }
 
@@ -86,7 +86,7 @@
   const bool deaf = hears_no_worker(shard), stateless = state_.store.failing();
   if (!deaf && !stateless) return std::nullopt;
   for (const auto& [host, peer] : state_.peers) {
-    if (!state_.reachable(host) || !peer.state_answers) continue;
+    if (!state_.reachable(host) || !peer.store_responsive) continue;
     if (stateless) return host;
     if (peer.our_workers_at >= Micros{0} && state_.now() - peer.our_workers_at < ControllerState::kPeerSilent)
       return host;
@@ -139,7 +139,7 @@
   const Micros term = state_.context.settings.lease_term();
   auto retry_soon = [this] { next_renewal_ = state_.now() + millis(300); };
   if (store_lease_ == 0) {
-    state_.store.lease(term, [this, sent, term, retry_soon](const StateAnswer& a) {
+    state_.store.lease(term, [this, sent, term, retry_soon](const StoreResponse& a) {
       store_lease_request_in_flight_ = false;
       if (!a.ok() || a.lease == 0) return retry_soon();
       store_lease_ = a.lease;
@@ -149,7 +149,7 @@
     });
     return;
   }
-  state_.store.renew(store_lease_, [this, sent, term, retry_soon](const StateAnswer& a) {
+  state_.store.renew(store_lease_, [this, sent, term, retry_soon](const StoreResponse& a) {
     store_lease_request_in_flight_ = false;
     if (a.ok()) {
       state_.lease_valid_until = std::max(state_.lease_valid_until, sent + surely_within(term));
@@ -178,7 +178,7 @@
     return state_.reachable(state_.leader_of(route.first));
   });
   next_reload_ = state_.now() + (all_heard ? kReloadInterval : kReloadSoon);
-  state_.store.list(records::kLeasePrefix, [this](const StateAnswer& a) {
+  state_.store.list(records::kLeasePrefix, [this](const StoreResponse& a) {
     reloading_ = false;
     if (a.ok())
       on_lease_records(a);
@@ -187,21 +187,22 @@
   });
 }
 
-void ShardLeases::on_lease_records(const StateAnswer& answer) {
-  std::map<std::string, const StateRow*> rows;
-  for (const StateRow& row : answer.rows) rows[row.key.substr(records::kLeasePrefix.size())] = &row;
+void ShardLeases::on_lease_records(const StoreResponse& answer) {
+  std::map<std::string, const KeyValue*> entries;
+  for (const KeyValue& entry : answer.entries)
+    entries[entry.key.substr(records::kLeasePrefix.size())] = &entry;
   for (auto& [shard, route] : state_.routes) {
-    if (route.stamp > answer.revision) continue;
-    auto it = rows.find(shard);
+    if (route.revision > answer.revision) continue;
+    auto it = entries.find(shard);
     std::optional<records::LeaseRecord> lease_record;
-    if (it != rows.end()) lease_record = records::lease_record(it->second->value);
+    if (it != entries.end()) lease_record = records::lease_record(it->second->value);
     if (!lease_record) {
       if (route.absent_since == Micros{0}) route.absent_since = state_.now();
       route.host.clear();
       route.incarnation.clear();
-      route.stamp = 0;
+      route.revision = 0;
     } else {
-      route = {lease_record->host, lease_record->incarnation, it->second->stamp, Micros{0}, true};
+      route = {lease_record->host, lease_record->incarnation, it->second->revision, Micros{0}, true};
     }
     auto held = state_.shards.find(shard);
     // A list older than our taking says nothing about it.
@@ -210,7 +211,7 @@
       // Our own late write may have gone through: a record of this very process is ours, whatever its stamp.
       if (lease_record && lease_record->host == state_.self() &&
           lease_record->incarnation == state_.context.incarnation)
-        held->second.fencing_token = std::max(held->second.fencing_token, it->second->stamp);
+        held->second.fencing_token = std::max(held->second.fencing_token, it->second->revision);
       else
         lose_shard(shard, "the holding record is not ours");
     }
@@ -224,14 +225,14 @@
   ShardRoute& route = state_.routes[shard];
   const bool ours = shard == state_.self();
   if (auto it = transferred_.find(shard); it != transferred_.end()) {
-    const bool theirs = route.stamp != 0 && route.host != state_.self();
+    const bool theirs = route.revision != 0 && route.host != state_.self();
     // Workers that we knew may never answer, as they are deaf or gone: by then the peer has seen to them.
     const Micros long_enough = it->second.until + state_.context.settings.worker_lease * 2;
     const bool waits_for_workers = !it->second.workers.empty() && state_.now() < long_enough;
     if (state_.now() < it->second.until || (theirs && waits_for_workers)) return;
     transferred_.erase(it);
   }
-  if (route.stamp == 0) {
+  if (route.revision == 0) {
     if (!ours) {
       // Its own host comes first, then the others in the order of a ring that starts behind it.
       std::size_t rank = 0, position = 0;
@@ -249,31 +250,31 @@
     acquire(shard, 0);
   } else if (route.host == state_.self()) {
     // Held by an earlier process of this host, which is dead: one process runs here at a time.
-    acquire(shard, route.stamp);
+    acquire(shard, route.revision);
   } else if (ours) {
     state_.context.act(PeerSend{route.host, FailbackRequest{shard}});
     next_reload_ = std::min(next_reload_, state_.now() + millis(300));
   }
 }
 
-void ShardLeases::acquire(const std::string& shard, std::uint64_t expected_stamp) {
+void ShardLeases::acquire(const std::string& shard, std::uint64_t expected_revision) {
   acquiring_[shard] = store_lease_;
-  StateCommit txn;
-  txn.conditions = {{records::lease_key(shard), expected_stamp}};
-  txn.writes = {{records::lease_key(shard),
-                 records::to_json(records::LeaseRecord{state_.self(), state_.context.incarnation}),
-                 store_lease_}};
-  state_.store.commit(std::move(txn), [this, shard, expected_stamp](const StateAnswer& a) {
-    on_acquire_response(shard, expected_stamp, a);
+  Transaction transaction;
+  transaction.compares = {{records::lease_key(shard), expected_revision}};
+  transaction.writes = {{records::lease_key(shard),
+                         records::to_json(records::LeaseRecord{state_.self(), state_.context.incarnation}),
+                         store_lease_}};
+  state_.store.commit(std::move(transaction), [this, shard, expected_revision](const StoreResponse& a) {
+    on_acquire_response(shard, expected_revision, a);
   });
 }
 
-void ShardLeases::on_acquire_response(const std::string& shard, std::uint64_t expected_stamp,
-                                      const StateAnswer& a) {
-  if (a.outcome == Outcome::lost) return resolve_acquisition(shard);
+void ShardLeases::on_acquire_response(const std::string& shard, std::uint64_t expected_revision,
+                                      const StoreResponse& a) {
+  if (a.outcome == Outcome::unknown) return resolve_acquisition(shard);
   const bool under_our_lease = finish_acquisition(shard);
   if (!under_our_lease) return;
-  if (a.ok()) return activate(shard, a.revision, expected_stamp);
+  if (a.ok()) return activate(shard, a.revision, expected_revision);
   if (a.outcome == Outcome::absent) lose_lease();
   next_reload_ = state_.now() + kReloadAfterFailure;
 }
@@ -292,12 +293,12 @@
 void ShardLeases::resolve_acquisition(const std::string& shard) {
   // No answer: read what became of it. A write that is applied later still shows up at the next look, as a
   // record of this process that it does not know of, and is then taken over again.
-  state_.store.get(records::lease_key(shard), [this, shard](const StateAnswer& a) {
-    if (!finish_acquisition(shard) || !a.ok() || a.rows.empty()) return;
-    auto lease_record = records::lease_record(a.rows.front().value);
+  state_.store.get(records::lease_key(shard), [this, shard](const StoreResponse& a) {
+    if (!finish_acquisition(shard) || !a.ok() || a.entries.empty()) return;
+    auto lease_record = records::lease_record(a.entries.front().value);
     if (lease_record && lease_record->host == state_.self() &&
         lease_record->incarnation == state_.context.incarnation)
-      activate(shard, a.rows.front().stamp, 0);
+      activate(shard, a.entries.front().revision, 0);
   });
 }
 
@@ -327,30 +328,31 @@
   shard.advancing_fencing_token = true;
   shard.advance_token_soon = shard.advance_token_eventually = false;
   shard.next_token_advance = state_.now() + kTokenAdvanceInterval;
-  StateCommit txn;
-  txn.conditions = {state_.fenced_by(shard)};
-  txn.writes = {{records::lease_key(shard.name),
-                 records::to_json(records::LeaseRecord{state_.self(), state_.context.incarnation}),
-                 store_lease_}};
-  state_.store.commit(std::move(txn), [this, name = shard.name,
-                                       leadership_term = shard.leadership_term](const StateAnswer& a) {
-    Shard* p = state_.shard_in_term(name, leadership_term);
-    if (p == nullptr) return;
-    p->advancing_fencing_token = false;
-    if (a.ok()) {
-      if (a.revision <= p->fencing_token)
-        state_.context.violated(Invariant::tokens_grow,
-                                "part " + name + " under token " + std::to_string(p->fencing_token) +
-                                    " was written at revision " + std::to_string(a.revision));
-      p->fencing_token = std::max(p->fencing_token, a.revision);
-      state_.context.debug(
-          [&] { return "part " + name + " raised its token to " + std::to_string(a.revision); });
-    } else {
-      p->advance_token_eventually = true;
-      p->advance_token_soon = a.outcome != Outcome::conflict;
-      next_reload_ = state_.now() + kReloadAfterFailure;
-    }
-  });
+  Transaction transaction;
+  transaction.compares = {state_.fenced_by(shard)};
+  transaction.writes = {{records::lease_key(shard.name),
+                         records::to_json(records::LeaseRecord{state_.self(), state_.context.incarnation}),
+                         store_lease_}};
+  state_.store.commit(
+      std::move(transaction),
+      [this, name = shard.name, leadership_term = shard.leadership_term](const StoreResponse& a) {
+        Shard* p = state_.shard_in_term(name, leadership_term);
+        if (p == nullptr) return;
+        p->advancing_fencing_token = false;
+        if (a.ok()) {
+          if (a.revision <= p->fencing_token)
+            state_.context.violated(Invariant::tokens_grow,
+                                    "part " + name + " under token " + std::to_string(p->fencing_token) +
+                                        " was written at revision " + std::to_string(a.revision));
+          p->fencing_token = std::max(p->fencing_token, a.revision);
+          state_.context.debug(
+              [&] { return "part " + name + " raised its token to " + std::to_string(a.revision); });
+        } else {
+          p->advance_token_eventually = true;
+          p->advance_token_soon = a.outcome != Outcome::conflict;
+          next_reload_ = state_.now() + kReloadAfterFailure;
+        }
+      });
 }
 
 void ShardLeases::fail_back(const std::string& name) {
--- a/src/core/holdings.h
+++ b/src/core/holdings.h
@@ -26,10 +26,10 @@
  private:
   void renew_store_lease();
   void reload();
-  void on_lease_records(const StateAnswer& answer);
+  void on_lease_records(const StoreResponse& answer);
   void consider_acquiring(const std::string& shard);
-  void acquire(const std::string& shard, std::uint64_t expected_stamp);
-  void on_acquire_response(const std::string& shard, std::uint64_t expected_stamp, const StateAnswer& a);
+  void acquire(const std::string& shard, std::uint64_t expected_revision);
+  void on_acquire_response(const std::string& shard, std::uint64_t expected_revision, const StoreResponse& a);
   void resolve_acquisition(const std::string& shard);
   /// Ends a taking; false if the lease that the record was written under is no longer ours, so that the
   /// record goes with it, or has gone.
--- a/src/core/jobs.h
+++ b/src/core/jobs.h
@@ -89,8 +89,8 @@
     ReplyCallback respond;
   };
   void read_and_tell(const std::string& id, const ReplyCallback& respond, bool may_pass_on);
-  void on_live_record(const JobRead& read, const StateAnswer& a);
-  void on_final_record(const JobRead& read, const StateAnswer& a);
+  void on_live_record(const JobRead& read, const StoreResponse& a);
+  void on_final_record(const JobRead& read, const StoreResponse& a);
   void on_record_unreadable(const JobRead& read);
   /// Asks peers; the first good answer counts, and none of them is "unsure".
   void ask(const std::vector<std::string>& hosts, JobQuery query, Micros within, ReplyCallback respond);
@@ -101,9 +101,9 @@
 
   void refuse(const std::string& id, UserReply refusal, ReplyCallback respond, bool may_pass_on);
   void write_accepted(Shard& shard);
-  void on_accepted(Batch batch, const StateAnswer& a);
-  void accepted(Submission& one, const Batch& batch, const StateAnswer& a);
-  void not_accepted(Batch& batch, const StateAnswer& a);
+  void on_accepted(Batch batch, const StoreResponse& a);
+  void accepted(Submission& one, const Batch& batch, const StoreResponse& a);
+  void not_accepted(Batch& batch, const StoreResponse& a);
   void give_up_queued_submissions();
   /// Loads a job that was found unfinished by a request made at `asked`, if that may still be acted on.
   Job* load_if_current(Shard& shard, const records::LiveJob& record, Micros asked);
@@ -118,7 +118,7 @@
     bool outcome_unknown = false;  ///< an earlier try got no answer
   };
   void write_final(const FinalWrite& write, const ReplyCallback& respond);
-  void on_final_written(const FinalWrite& write, const StateAnswer& a, const ReplyCallback& respond);
+  void on_final_written(const FinalWrite& write, const StoreResponse& a, const ReplyCallback& respond);
   /// The state service holds a final state already: that one counts, whatever this controller believes.
   void read_final(const FinalWrite& write, const ReplyCallback& respond);
   void conclude(const FinalWrite& write, JobPhase phase, const ReplyCallback& respond);
@@ -137,7 +137,7 @@
                                                    std::vector<Recorded>& batch);
   DoneSlot& slot_for(Shard& shard, const Job& job, std::uint32_t chunk) const;
   void on_recorded(Shard& shard, const std::vector<Recorded>& batch, const std::vector<std::uint32_t>& slots,
-                   const StateAnswer& a);
+                   const StoreResponse& a);
   void read_slot(Shard& shard, std::uint32_t slot);
   void remember(const std::string& id, const FinalState& state);
   void reread(Shard& shard);
--- a/src/core/jobs_ending.cpp
+++ b/src/core/jobs_ending.cpp
@@ -3,7 +3,7 @@
 
 namespace bendtide {
 
-using Outcome = StateAnswer::Outcome;
+using Outcome = StoreResponse::Outcome;
 
 namespace {
 
@@ -35,10 +35,10 @@
   if (auto shard = shard_of_.find(id);
       shard != shard_of_.end() && may_pass_on && state_.leader_of(shard->second) != state_.self())
     return pass_on({state_.leader_of(shard->second)});
-  const auto read = [this, id, respond, pass_on, cancel_here, asked = state_.now()](const StateAnswer& a) {
+  const auto read = [this, id, respond, pass_on, cancel_here, asked = state_.now()](const StoreResponse& a) {
     // Not live: whatever else there is to be told of it, it can't be cancelled any more.
     if (a.outcome == Outcome::absent) return read_and_tell(id, respond, false);
-    auto live = a.ok() && !a.rows.empty() ? records::live_job(a.rows.front().value) : std::nullopt;
+    auto live = a.ok() && !a.entries.empty() ? records::live_job(a.entries.front().value) : std::nullopt;
     if (!live) return pass_on(peers());
     learn(*live);
     const std::string leader_of = state_.leader_of(live->shard);
@@ -70,19 +70,20 @@
   if (shard == nullptr || !shard->jobs.contains(write.job)) return respond(unavailable(write.job));
   Job& job = shard->jobs.at(write.job);
   const records::JobEntry entry{write.phase, static_cast<std::uint32_t>(job.tasks.size())};
-  StateCommit txn;
+  Transaction transaction;
   // A final state is written once, and never over another, whatever this controller believes.
-  txn.conditions = {state_.fenced_by(*shard), {records::job_key(write.job), 0}};
-  txn.writes = {{records::job_key(write.job), records::to_json(entry), 0},
-                {records::live_key(write.job), std::nullopt, 0}};
+  transaction.compares = {state_.fenced_by(*shard), {records::job_key(write.job), 0}};
+  transaction.writes = {{records::job_key(write.job), records::to_json(entry), 0},
+                        {records::live_key(write.job), std::nullopt, 0}};
   // The awards go in the same write: the winners stop as soon as they miss them.
-  for (const auto& [key, winner] : job.awards) txn.writes.push_back({key, std::nullopt, 0});
+  for (const auto& [key, winner] : job.awards) transaction.writes.push_back({key, std::nullopt, 0});
   state_.store.commit(
-      std::move(txn), [this, write, respond](const StateAnswer& a) { on_final_written(write, a, respond); },
-      Store::Rank::first);
+      std::move(transaction),
+      [this, write, respond](const StoreResponse& a) { on_final_written(write, a, respond); },
+      KeyValueClient::RequestPriority::high);
 }
 
-void Jobs::on_final_written(const FinalWrite& write, const StateAnswer& a, const ReplyCallback& respond) {
+void Jobs::on_final_written(const FinalWrite& write, const StoreResponse& a, const ReplyCallback& respond) {
   if (a.ok()) return conclude(write, write.phase, respond);
   Shard* shard = state_.shard_in_term(write.shard, write.leadership_term);
   if (shard == nullptr || !shard->jobs.contains(write.job)) return respond(unavailable(write.job));
@@ -94,7 +95,7 @@
   }
   respond(unavailable(write.job));
   FinalWrite again = write;
-  again.outcome_unknown = write.outcome_unknown || a.outcome == Outcome::lost;
+  again.outcome_unknown = write.outcome_unknown || a.outcome == Outcome::unknown;
   if (!again.outcome_unknown) {
     shard->jobs.at(write.job).finalizing = false;
     return;
@@ -104,8 +105,9 @@
 }
 
 void Jobs::read_final(const FinalWrite& write, const ReplyCallback& respond) {
-  state_.store.get(records::job_key(write.job), [this, write, respond](const StateAnswer& a) {
-    const auto entry = a.ok() && !a.rows.empty() ? records::job_entry(a.rows.front().value) : std::nullopt;
+  state_.store.get(records::job_key(write.job), [this, write, respond](const StoreResponse& a) {
+    const auto entry =
+        a.ok() && !a.entries.empty() ? records::job_entry(a.entries.front().value) : std::nullopt;
     if (!entry) {
       respond(unavailable(write.job));
       state_.context.later(kRetryFinal, [this, write] { write_final(write, [](const UserReply&) {}); });
@@ -116,7 +118,7 @@
       state_.context.violated(Invariant::final_state_stays,
                               write.job + " is " + to_text(entry->phase) +
                                   " in the state service at revision " +
-                                  std::to_string(a.rows.front().stamp) + ", and part " + write.shard +
+                                  std::to_string(a.entries.front().revision) + ", and part " + write.shard +
                                   " was to write that it is " + to_text(write.phase));
     conclude(write, entry->phase, respond);
   });
--- a/src/core/jobs_recording.cpp
+++ b/src/core/jobs_recording.cpp
@@ -3,7 +3,7 @@
 
 namespace bendtide {
 
-using Outcome = StateAnswer::Outcome;
+using Outcome = StoreResponse::Outcome;
 
 namespace {
 
@@ -17,7 +17,7 @@
   const std::size_t tasks =
       std::min<std::size_t>(records::kChunk, job.tasks.size() - std::size_t{chunk} * records::kChunk);
   const std::size_t bytes = records::done_bytes(job.spec.id, tasks);
-  const std::size_t most = state_.context.settings.state_value_bytes * 9 / 10;
+  const std::size_t most = state_.context.settings.store_value_bytes * 9 / 10;
   std::uint32_t free = 0;
   DoneSlot* found = nullptr;
   for (auto& [number, slot] : shard.done_slots) {
@@ -82,14 +82,14 @@
 void Jobs::record(Shard& shard) {
   if (shard.recording || state_.now() < shard.next_recording) return;
   mark_slots_to_write(shard);
-  StateCommit txn;
-  txn.conditions = {state_.fenced_by(shard)};
+  Transaction transaction;
+  transaction.compares = {state_.fenced_by(shard)};
   std::vector<Recorded> batch;
   std::vector<std::uint32_t> slots;
   std::size_t bytes = 0;
   for (auto& [number, slot] : shard.done_slots) {
-    if (!slot.dirty || slots.size() >= state_.context.settings.state_transaction_writes) continue;
-    if (slot.in_doubt) return read_slot(shard, number);
+    if (!slot.dirty || slots.size() >= state_.context.settings.store_transaction_writes) continue;
+    if (slot.outcome_unknown) return read_slot(shard, number);
     const std::vector<records::DoneBits> value = slot_value(shard, slot, batch);
     // With all its jobs over there is nothing to be kept; the slot is used again.
     if (value.empty()) {
@@ -100,29 +100,31 @@
     if (bytes > kTransactionBytes && !slots.empty()) break;
     // A late write of ours must not take back what a later one recorded.
     const std::string key = records::done_key(shard.name, number);
-    txn.conditions.push_back({key, slot.stamp});
-    txn.writes.push_back({key, records::to_json(value), 0});
+    transaction.compares.push_back({key, slot.revision});
+    transaction.writes.push_back({key, records::to_json(value), 0});
     slots.push_back(number);
   }
-  if (txn.writes.empty()) return;
+  if (transaction.writes.empty()) return;
   shard.recording = true;
-  state_.store.commit(std::move(txn), [this, name = shard.name, leadership_term = shard.leadership_term,
-                                       batch = std::move(batch), slots](const StateAnswer& a) {
-    if (Shard* p = state_.shard_in_term(name, leadership_term)) on_recorded(*p, batch, slots, a);
-  });
+  state_.store.commit(std::move(transaction),
+                      [this, name = shard.name, leadership_term = shard.leadership_term,
+                       batch = std::move(batch), slots](const StoreResponse& a) {
+                        if (Shard* p = state_.shard_in_term(name, leadership_term))
+                          on_recorded(*p, batch, slots, a);
+                      });
 }
 
 void Jobs::on_recorded(Shard& shard, const std::vector<Recorded>& batch,
-                       const std::vector<std::uint32_t>& slots, const StateAnswer& a) {
+                       const std::vector<std::uint32_t>& slots, const StoreResponse& a) {
   shard.recording = false;
   shard.next_recording = state_.now() + kRecordEvery;
   if (a.outcome == Outcome::conflict) hooks_.invalidate_leases();
   for (std::uint32_t number : slots) {
     DoneSlot& slot = shard.done_slots[number];
     if (a.ok())
-      slot.stamp = a.revision, slot.dirty = false;
+      slot.revision = a.revision, slot.dirty = false;
     else if (a.outcome != Outcome::refused)
-      slot.in_doubt = true;
+      slot.outcome_unknown = true;
   }
   if (!a.ok()) return;
   std::set<std::string> owners;
@@ -145,14 +147,14 @@
   shard.recording = true;
   state_.store.get(
       records::done_key(shard.name, number),
-      [this, name = shard.name, leadership_term = shard.leadership_term, number](const StateAnswer& a) {
+      [this, name = shard.name, leadership_term = shard.leadership_term, number](const StoreResponse& a) {
         Shard* p = state_.shard_in_term(name, leadership_term);
         if (p == nullptr) return;
         p->recording = false;
         if (!a.ok() && a.outcome != Outcome::absent) return;
         DoneSlot& slot = p->done_slots[number];
-        slot.in_doubt = false;
-        slot.stamp = a.rows.empty() ? 0 : a.rows.front().stamp;
+        slot.outcome_unknown = false;
+        slot.revision = a.entries.empty() ? 0 : a.entries.front().revision;
       });
 }
 
--- a/src/core/jobs_status.cpp
+++ b/src/core/jobs_status.cpp
@@ -3,7 +3,7 @@
 
 namespace bendtide {
 
-using Outcome = StateAnswer::Outcome;
+using Outcome = StoreResponse::Outcome;
 
 namespace {
 
@@ -124,17 +124,17 @@
 void Jobs::read_and_tell(const std::string& id, const ReplyCallback& respond, bool may_pass_on) {
   const JobRead read{id, state_.now(), may_pass_on, respond};
   if (state_.store.failing() && may_pass_on) return on_record_unreadable(read);
-  state_.store.get(records::live_key(id), [this, read](const StateAnswer& a) { on_live_record(read, a); });
+  state_.store.get(records::live_key(id), [this, read](const StoreResponse& a) { on_live_record(read, a); });
 }
 
-void Jobs::on_live_record(const JobRead& read, const StateAnswer& a) {
+void Jobs::on_live_record(const JobRead& read, const StoreResponse& a) {
   if (a.outcome == Outcome::absent) {
     // Not live at that moment: over since before, or never accepted.
     state_.store.get(records::job_key(read.job),
-                     [this, read](const StateAnswer& b) { on_final_record(read, b); });
+                     [this, read](const StoreResponse& b) { on_final_record(read, b); });
     return;
   }
-  const auto live = a.ok() && !a.rows.empty() ? records::live_job(a.rows.front().value) : std::nullopt;
+  const auto live = a.ok() && !a.entries.empty() ? records::live_job(a.entries.front().value) : std::nullopt;
   if (!live) return on_record_unreadable(read);
   // It has ended since this was read: how, the next read tells.
   if (state_.final_states.has_ended(read.job)) return read.respond(unavailable(read.job));
@@ -149,9 +149,10 @@
       [read, pending](const UserReply& reply) { read.respond(reply.status == 200 ? reply : pending); });
 }
 
-void Jobs::on_final_record(const JobRead& read, const StateAnswer& a) {
+void Jobs::on_final_record(const JobRead& read, const StoreResponse& a) {
   if (a.outcome == Outcome::absent) return read.respond(absent(read.job));
-  const auto entry = a.ok() && !a.rows.empty() ? records::job_entry(a.rows.front().value) : std::nullopt;
+  const auto entry =
+      a.ok() && !a.entries.empty() ? records::job_entry(a.entries.front().value) : std::nullopt;
   if (!entry) return on_record_unreadable(read);
   const FinalState state{entry->phase, entry->phase == JobPhase::done ? entry->tasks : 0};
   remember(read.job, state);
--- a/src/core/jobs_submission.cpp
+++ b/src/core/jobs_submission.cpp
@@ -3,7 +3,7 @@
 
 namespace bendtide {
 
-using Outcome = StateAnswer::Outcome;
+using Outcome = StoreResponse::Outcome;
 
 namespace {
 
@@ -71,7 +71,7 @@
       return;
     }
   const Settings& s = state_.context.settings;
-  const double per_second = s.state_writes_per_s / static_cast<double>(s.controllers());
+  const double per_second = s.store_writes_per_s / static_cast<double>(s.controllers());
   if (static_cast<double>(queued_submissions_.size()) >= std::max(8.0, per_second * kAcceptWithinSeconds))
     return respond(unavailable(id, 2));
   queued_submissions_.push_back({{state_.self(), spec, state_.context.wall}, {std::move(respond)}});
@@ -100,34 +100,34 @@
 
 /// All submissions that have gathered while a write was under way go with the next one.
 void Jobs::write_accepted(Shard& shard) {
-  const std::size_t most = std::max<std::size_t>(1, state_.context.settings.state_transaction_writes / 2);
+  const std::size_t most = std::max<std::size_t>(1, state_.context.settings.store_transaction_writes / 2);
   while (!queued_submissions_.empty() && acceptance_writes_ < kAcceptanceWrites) {
     Batch batch{shard.name, shard.leadership_term, state_.now(), {}};
-    StateCommit txn;
-    txn.conditions = {state_.fenced_by(shard)};
+    Transaction transaction;
+    transaction.compares = {state_.fenced_by(shard)};
     while (!queued_submissions_.empty() && batch.jobs.size() < most) {
       const records::LiveJob& record = queued_submissions_.front().record;
-      txn.conditions.push_back({records::live_key(record.spec.id), 0});
-      txn.conditions.push_back({records::job_key(record.spec.id), 0});
-      txn.writes.push_back({records::live_key(record.spec.id), records::to_json(record), 0});
+      transaction.compares.push_back({records::live_key(record.spec.id), 0});
+      transaction.compares.push_back({records::job_key(record.spec.id), 0});
+      transaction.writes.push_back({records::live_key(record.spec.id), records::to_json(record), 0});
       submissions_in_flight_[record.spec.id];
       batch.jobs.push_back(std::move(queued_submissions_.front()));
       queued_submissions_.pop_front();
     }
     ++acceptance_writes_;
     state_.store.commit(
-        std::move(txn),
-        [this, batch = std::move(batch)](const StateAnswer& a) mutable {
+        std::move(transaction),
+        [this, batch = std::move(batch)](const StoreResponse& a) mutable {
           --acceptance_writes_;
           on_accepted(std::move(batch), a);
           if (Shard* p = state_.ready_shard(state_.self()); p != nullptr && !queued_submissions_.empty())
             write_accepted(*p);
         },
-        Store::Rank::first);
+        KeyValueClient::RequestPriority::high);
   }
 }
 
-void Jobs::on_accepted(Batch batch, const StateAnswer& a) {
+void Jobs::on_accepted(Batch batch, const StoreResponse& a) {
   for (Submission& one : batch.jobs) {
     const std::string& id = one.record.spec.id;
     for (ReplyCallback& respond : submissions_in_flight_[id]) one.callbacks.push_back(std::move(respond));
@@ -141,7 +141,7 @@
 
 /// The answer may be late: since the write was made, the job may have been found by its record, and even have
 /// been cancelled and forgotten. Then it must not begin anew, and nobody is told that it is only accepted.
-void Jobs::accepted(Submission& one, const Batch& batch, const StateAnswer& a) {
+void Jobs::accepted(Submission& one, const Batch& batch, const StoreResponse& a) {
   const std::string& id = one.record.spec.id;
   state_.context.info("accepted " + id + ": " + std::to_string(one.record.spec.tasks) + " tasks of " +
                       one.record.spec.team + ", in part " + batch.shard + " at revision " +
@@ -158,12 +158,12 @@
   }
 }
 
-void Jobs::not_accepted(Batch& batch, const StateAnswer& a) {
+void Jobs::not_accepted(Batch& batch, const StoreResponse& a) {
   if (a.outcome == Outcome::conflict) hooks_.invalidate_leases();
   // Without an answer they may have been accepted, or may be yet: then a later poll, a repeated submission or
   // the reading of the part's unfinished jobs finds them.
   Shard* shard = state_.shard_in_term(batch.shard, batch.leadership_term);
-  if (a.outcome == Outcome::lost && shard != nullptr)
+  if (a.outcome == Outcome::unknown && shard != nullptr)
     shard->next_reread = std::min(shard->next_reread, state_.now() + kRereadSoon);
   auto failed = [&](const std::string& key) {
     return std::find(a.failed.begin(), a.failed.end(), key) != a.failed.end();
@@ -201,13 +201,13 @@
   shard.next_reread = state_.now() + kRereadEvery;
   shard.rereading = true;
   state_.store.list(records::kLivePrefix, [this, name = shard.name, leadership_term = shard.leadership_term,
-                                           asked = state_.now()](const StateAnswer& a) {
+                                           asked = state_.now()](const StoreResponse& a) {
     Shard* p = state_.shard_in_term(name, leadership_term);
     if (p == nullptr) return;
     p->rereading = false;
     if (!a.ok()) return;
-    for (const StateRow& row : a.rows) {
-      const auto record = records::live_job(row.value);
+    for (const KeyValue& entry : a.entries) {
+      const auto record = records::live_job(entry.value);
       if (record && record->shard == name) load_if_current(*p, *record, asked);
     }
   });
--- a/src/core/part.h
+++ b/src/core/part.h
@@ -206,20 +206,20 @@
 /// One record of finished tasks. It holds those of many jobs, so that one write serves all that ended since
 /// the last.
 struct DoneSlot {
-  std::uint64_t stamp = 0;
+  std::uint64_t revision = 0;
   std::set<std::pair<std::string, std::uint32_t>> chunks;  ///< job and chunk of its tasks
   std::size_t bytes = 0;                                   ///< at most, with every task done
   bool dirty = false;
-  bool in_doubt = false;  ///< a write without answer: its stamp has to be read
+  bool outcome_unknown = false;  ///< a write without answer: its stamp has to be read
 };
 
 /// One record of machines that belong to the part.
 struct ClaimBlock {
-  std::uint64_t stamp = 0;
-  bool dirty = false;     ///< machines of it are gone
-  bool urgent = false;    ///< machines of it came up, and are to be used
-  bool writing = false;   ///< a write is under way
-  bool in_doubt = false;  ///< a write without answer
+  std::uint64_t revision = 0;
+  bool dirty = false;            ///< machines of it are gone
+  bool urgent = false;           ///< machines of it came up, and are to be used
+  bool writing = false;          ///< a write is under way
+  bool outcome_unknown = false;  ///< a write without answer
 };
 
 struct Shard {
@@ -238,7 +238,7 @@
 
   std::map<std::string, Quota> shares;
   std::map<std::string, Quota> lending;  ///< share in a write under way: neither ours nor given yet
-  std::uint64_t room_stamp = 0;
+  std::uint64_t room_revision = 0;
   bool room_busy = false;   ///< a write or read of our room record is under way
   bool room_stale = false;  ///< somebody else wrote our room record
   bool reading_awards = false;
@@ -287,11 +287,13 @@
     awards_good_until = as_of + term;
   }
   /// An award may have been taken back, and its job cancelled, since the awards were last read.
-  bool in_doubt(const Job& job, Micros now) const { return !job.owner.empty() && now >= awards_good_until; }
+  bool award_is_stale(const Job& job, Micros now) const {
+    return !job.owner.empty() && now >= awards_good_until;
+  }
   /// Whether tasks of the job may be started. Asked right before a placement: a term may have ended, and
   /// begun again without a word from the state service, since the queue was made.
   bool may_start(const Job& job, Micros now) const {
-    return job.can_start(now) && !job.unsettled && !in_doubt(job, now);
+    return job.can_start(now) && !job.unsettled && !award_is_stale(job, now);
   }
   /// Unique among all attempts that were ever made: tokens are, and they grow.
   std::uint64_t next_attempt() { return (fencing_token << 16) + ++starts; }
--- a/src/core/records.cpp
+++ b/src/core/records.cpp
@@ -158,9 +158,10 @@
 }
 std::optional<std::vector<ClaimedMachine>> claims(const Value& v) {
   return read<std::vector<ClaimedMachine>>(v, [](std::vector<ClaimedMachine>& out, const Value& in) {
-    for (const Value& row : in)
-      out.push_back({row.at(0).get<std::string>(), row.at(1).get<std::string>(), row.at(2).get<std::string>(),
-                     row.at(3).get<bool>(), row.at(4).get<std::string>(), micros(row.at(5))});
+    for (const Value& entry : in)
+      out.push_back({entry.at(0).get<std::string>(), entry.at(1).get<std::string>(),
+                     entry.at(2).get<std::string>(), entry.at(3).get<bool>(), entry.at(4).get<std::string>(),
+                     micros(entry.at(5))});
   });
 }
 
@@ -179,16 +180,16 @@
 }
 std::optional<std::vector<MachineType>> catalogue(const Value& v) {
   return read<std::vector<MachineType>>(v, [](std::vector<MachineType>& out, const Value& in) {
-    for (const Value& row : in) {
+    for (const Value& entry : in) {
       MachineType t;
-      t.name = row.at("name").get<std::string>();
-      t.size = resources(row.at("size"));
-      t.cache_gb = row.at("cache_gb").get<double>();
-      t.fetch_gb_per_s = row.at("fetch").get<double>();
-      t.price = row.at("price").get<double>();
-      t.spot_price = row.at("spot_price").get<double>();
-      t.boot = micros(row.at("boot"));
-      t.zones = row.at("zones").get<std::vector<std::string>>();
+      t.name = entry.at("name").get<std::string>();
+      t.size = resources(entry.at("size"));
+      t.cache_gb = entry.at("cache_gb").get<double>();
+      t.fetch_gb_per_s = entry.at("fetch").get<double>();
+      t.price = entry.at("price").get<double>();
+      t.spot_price = entry.at("spot_price").get<double>();
+      t.boot = micros(entry.at("boot"));
+      t.zones = entry.at("zones").get<std::vector<std::string>>();
       out.push_back(std::move(t));
     }
   });
@@ -215,11 +216,11 @@
 }
 std::optional<std::vector<DoneBits>> done(const Value& v) {
   return read<std::vector<DoneBits>>(v, [](std::vector<DoneBits>& out, const Value& in) {
-    for (const Value& row : in) {
-      DoneBits d{row.at(0).get<std::string>(), row.at(1).get<std::uint32_t>(), {}};
-      for (char c : row.at(2).get_ref<const std::string&>()) {
+    for (const Value& entry : in) {
+      DoneBits d{entry.at(0).get<std::string>(), entry.at(1).get<std::uint32_t>(), {}};
+      for (char c : entry.at(2).get_ref<const std::string&>()) {
         const int nibble = c >= '0' && c <= '9' ? c - '0' : c >= 'a' && c <= 'f' ? c - 'a' + 10 : -1;
-        if (nibble < 0) throw Value::out_of_range::create(401, "bitmap", &row);
+        if (nibble < 0) throw Value::out_of_range::create(401, "bitmap", &entry);
         for (int j = 0; j < 4; ++j) d.bits.push_back((nibble >> j & 1) != 0);
       }
       out.push_back(std::move(d));
--- a/src/core/renter.cpp
+++ b/src/core/renter.cpp
@@ -84,9 +84,9 @@
     };
     // Kept for a restart while the cloud is away; prices move too often to be worth a write.
     if (first || plain(a.types) != plain(state_.catalogue)) {
-      StateCommit txn;
-      txn.writes = {{records::kCatalogueKey, records::to_json(a.types), 0}};
-      state_.store.commit(std::move(txn), [](const StateAnswer&) {});
+      Transaction transaction;
+      transaction.writes = {{records::kCatalogueKey, records::to_json(a.types), 0}};
+      state_.store.commit(std::move(transaction), [](const StoreResponse&) {});
     }
     state_.catalogue = a.types;
     for (auto& [name, shard] : state_.shards)
@@ -100,9 +100,9 @@
   });
   if (!sent) again(millis(200));
   if (!first) return;
-  state_.store.get(records::kCatalogueKey, [this](const StateAnswer& a) {
-    if (!a.ok() || a.rows.empty() || !state_.catalogue.empty()) return;
-    if (auto types = records::catalogue(a.rows.front().value)) state_.catalogue = *types;
+  state_.store.get(records::kCatalogueKey, [this](const StoreResponse& a) {
+    if (!a.ok() || a.entries.empty() || !state_.catalogue.empty()) return;
+    if (auto types = records::catalogue(a.entries.front().value)) state_.catalogue = *types;
   });
 }
 
@@ -264,7 +264,7 @@
         unanswered_.erase(charter);
         if (a.outcome == Outcome::no_capacity) {
           refused(kind);
-        } else if (a.outcome == Outcome::lost) {
+        } else if (a.outcome == Outcome::unknown) {
           unanswered_[charter] = {kind, count};
         } else if (a.ok()) {
           if (static_cast<int>(a.names.size()) < count) refused(kind);
--- a/src/core/settings.h
+++ b/src/core/settings.h
@@ -36,7 +36,7 @@
   std::string internal_address;
   std::vector<Peer> peers;
   std::string cloud_address;
-  std::string state_address;
+  std::string store_address;
   std::vector<std::string> zones;
   std::vector<Team> teams;
   std::vector<Objective> objectives;
@@ -44,10 +44,10 @@
   Micros report_every{0};
   Micros worker_lease{0};
   Micros cancel_within{0};
-  double state_calls_per_s = 0;
-  double state_writes_per_s = 0;
-  std::size_t state_value_bytes = 0;
-  std::size_t state_transaction_writes = 0;
+  double store_requests_per_s = 0;
+  double store_writes_per_s = 0;
+  std::size_t store_value_bytes = 0;
+  std::size_t store_transaction_writes = 0;
   double cloud_calls_per_s = 0;
   Micros cloud_list_lag{0};
   std::size_t sockets = 0;
--- a/src/core/store.h
+++ b/src/core/store.h
@@ -11,57 +11,59 @@
 
 namespace bendtide {
 
-class Store {
+class KeyValueClient {
  public:
-  using Done = std::function<void(const StateAnswer&)>;
+  using Callback = std::function<void(const StoreResponse&)>;
 
   /// What goes first when the budget is short: what users wait for, then the work, then what can wait.
-  enum class Rank : std::uint8_t { first, normal, later };
+  enum class RequestPriority : std::uint8_t { high, normal, low };
 
-  explicit Store(Context& context);
+  explicit KeyValueClient(Context& context);
 
-  void get(std::string key, Done done);
+  void get(std::string key, Callback callback);
   /// All rows under a prefix, page after page; any failed page fails the whole.
-  void list(std::string prefix, Done done);
-  void commit(StateCommit txn, Done done, Rank rank = Rank::normal);
+  void list(std::string prefix, Callback callback);
+  void commit(Transaction transaction, Callback callback, RequestPriority priority = RequestPriority::normal);
   /// Leases go ahead of everything else and are never queued behind it.
-  void lease(Micros term, Done done);
-  void renew(std::uint64_t lease, Done done);
+  void lease(Micros term, Callback callback);
+  void renew(std::uint64_t lease, Callback callback);
 
-  void on_answer(std::uint64_t call, const StateAnswer& answer);
+  void on_answer(std::uint64_t call, const StoreResponse& answer);
   /// Sends what the budget allows by now.
-  void pump();
-  bool busy() const { return reads_.size() + commits_[0].size() + commits_[1].size() > kQueue / 4; }
+  void send_queued();
+  bool busy() const {
+    return reads_.size() + transactions_[0].size() + transactions_[1].size() > kQueueLimit / 4;
+  }
   /// Whether calls have been failing for a while, with none answered since.
-  bool failing() const { return failing_since_ && context_.now - *failing_since_ > kFailing; }
-  bool answers() const { return !failing_since_ && last_answer_ != Micros{0}; }
+  bool failing() const { return failing_since_ && context_.now - *failing_since_ > kFailingAfter; }
+  bool responsive() const { return !failing_since_ && last_answer_ != Micros{0}; }
 
  private:
   struct Pending {
-    StateRequest request;
-    Done done;
+    StoreRequest request;
+    Callback callback;
   };
   using Queue = std::deque<Pending>;
   struct InFlight {
-    Done done;
+    Callback callback;
     Micros sent{0};
     std::string what;  ///< for the log, if debug lines are written
   };
-  void enqueue(Queue& queue, StateRequest request, Done done);
+  void enqueue(Queue& queue, StoreRequest request, Callback callback);
   bool send_next(Queue& queue, double reserve);
   void send(Pending p);
-  void list_page(std::string prefix, std::string after, std::vector<StateRow> rows, Done done);
+  void list_page(std::string prefix, std::string after, std::vector<KeyValue> entries, Callback callback);
 
-  static constexpr std::size_t kQueue = 256;
-  static constexpr Micros kFailing = seconds(2);
-  static constexpr std::size_t kInFlight = 16;
+  static constexpr std::size_t kQueueLimit = 256;
+  static constexpr Micros kFailingAfter = seconds(2);
+  static constexpr std::size_t kInFlightLimit = 16;
 
   Context& context_;
-  double most_writes_;  ///< in one burst
+  double write_burst_;  ///< in one burst
   Budget calls_;
   Budget writes_;
   Queue reads_;
-  std::array<Queue, 3> commits_;  ///< by rank
+  std::array<Queue, 3> transactions_;  ///< by rank
   std::unordered_map<std::uint64_t, InFlight> in_flight_;
   std::uint64_t next_call_ = 1;
   Micros last_answer_{0};
--- a/src/wire/wire.cpp
+++ b/src/wire/wire.cpp
@@ -207,9 +207,9 @@
 json orders_json(const std::vector<Order>& orders) {
   json out = json::array();
   for (const Order& o : orders) {
-    json row = {{kVerb, text_of(o.kind, kVerbs)}, {kTask, task_name(o.task)}, {kAttempt, o.attempt}};
-    if (o.kind == Order::Kind::stop) row[kGrace] = in_seconds(o.grace);
-    out.push_back(std::move(row));
+    json entry = {{kVerb, text_of(o.kind, kVerbs)}, {kTask, task_name(o.task)}, {kAttempt, o.attempt}};
+    if (o.kind == Order::Kind::stop) entry[kGrace] = in_seconds(o.grace);
+    out.push_back(std::move(entry));
   }
   return out;
 }
@@ -306,9 +306,9 @@
 std::string body_of(const Report& r) {
   json tasks = json::array();
   for (const ReportedTask& t : r.tasks) {
-    json row = {{kTask, task_name(t.task)}, {kAttempt, t.attempt}, {kPhase, text_of(t.phase, kTaskPhases)}};
-    if (t.phase == TaskPhase::exited) row[kCause] = text_of(t.cause, kCauses);
-    tasks.push_back(std::move(row));
+    json entry = {{kTask, task_name(t.task)}, {kAttempt, t.attempt}, {kPhase, text_of(t.phase, kTaskPhases)}};
+    if (t.phase == TaskPhase::exited) entry[kCause] = text_of(t.cause, kCauses);
+    tasks.push_back(std::move(entry));
   }
   json v = {{kMachine, r.machine},   {kAddress, r.address},     {kType, r.type},
             {kZone, r.zone},         {kSpot, r.spot},           {kSession, r.session},
@@ -331,58 +331,56 @@
 
 // ---- state service -------------------------------------------------------------------------------
 
-HttpRequest request_of(const StateRequest& request) {
+HttpRequest request_of(const StoreRequest& request) {
   struct Visitor {
-    HttpRequest operator()(const StateGet& r) {
-      return {"GET", std::string(kKeys) + "/" + escaped(r.key), ""};
-    }
-    HttpRequest operator()(const StateList& r) {
+    HttpRequest operator()(const GetKey& r) { return {"GET", std::string(kKeys) + "/" + escaped(r.key), ""}; }
+    HttpRequest operator()(const ListPrefix& r) {
       std::string target = std::string(kKeys) + "?" + kUnder + "=" + escaped(r.prefix);
       if (!r.after.empty()) target += std::string("&") + kFrom + "=" + escaped(r.after);
       return {"GET", target + "&" + kMost + "=1000", ""};
     }
-    HttpRequest operator()(const StateCommit& r) {
-      json conditions = json::array(), writes = json::array();
-      for (const Condition& c : r.conditions) conditions.push_back({{kKey, c.key}, {kStamp, c.stamp}});
+    HttpRequest operator()(const Transaction& r) {
+      json compares = json::array(), writes = json::array();
+      for (const Compare& c : r.compares) compares.push_back({{kKey, c.key}, {kStamp, c.revision}});
       for (const Write& w : r.writes) {
         if (!w.value) {
           writes.push_back({{kRemove, w.key}});
           continue;
         }
-        json row = {{kPut, w.key}, {kValue, *w.value}};
-        if (w.lease != 0) row[kLease] = w.lease;
-        writes.push_back(std::move(row));
+        json entry = {{kPut, w.key}, {kValue, *w.value}};
+        if (w.lease != 0) entry[kLease] = w.lease;
+        writes.push_back(std::move(entry));
       }
-      return {"POST", kMulti, json{{kWhen, std::move(conditions)}, {kWrites, std::move(writes)}}.dump()};
+      return {"POST", kMulti, json{{kWhen, std::move(compares)}, {kWrites, std::move(writes)}}.dump()};
     }
-    HttpRequest operator()(const StateLease& r) {
+    HttpRequest operator()(const GrantLease& r) {
       return {"POST", kLeases, json{{kTtl, r.term.count() / 1000}}.dump()};
     }
-    HttpRequest operator()(const StateRenew& r) {
+    HttpRequest operator()(const RenewLease& r) {
       return {"POST", std::string(kLeases) + "/" + std::to_string(r.lease) + kRenew, "{}"};
     }
   };
   return std::visit(Visitor{}, request);
 }
 
-StateAnswer state_answer(const StateRequest& request, int status, std::string_view body) {
-  StateAnswer out;
+StoreResponse store_response(const StoreRequest& request, int status, std::string_view body) {
+  StoreResponse out;
   if (status == 429 || status == 503) {
     // This request was not executed, but a late copy of it may be yet: for a write, that is as good as no
     // answer.
-    if (!std::holds_alternative<StateCommit>(request)) out.outcome = StateAnswer::Outcome::refused;
+    if (!std::holds_alternative<Transaction>(request)) out.outcome = StoreResponse::Outcome::refused;
     return out;
   }
   try {
     const json v = body.empty() ? json::object() : parse(body);
     object(v);
     if (status == 404) {
-      out.outcome = StateAnswer::Outcome::absent;
+      out.outcome = StoreResponse::Outcome::absent;
       if (find(v, kEpoch) != nullptr) out.revision = count(v, kEpoch);
       return out;
     }
     if (status == 409) {
-      out.outcome = StateAnswer::Outcome::conflict;
+      out.outcome = StoreResponse::Outcome::conflict;
       if (const json* failed = find(v, kFailed); failed != nullptr && failed->is_array())
         for (const json& key : *failed)
           if (key.is_string()) out.failed.push_back(key.get<std::string>());
@@ -393,28 +391,28 @@
       const json* error = find(v, kError);
       const bool lease = error != nullptr && error->is_string() &&
                          error->get_ref<const std::string&>().find("lease") != std::string::npos;
-      out.outcome = lease ? StateAnswer::Outcome::absent : StateAnswer::Outcome::refused;
+      out.outcome = lease ? StoreResponse::Outcome::absent : StoreResponse::Outcome::refused;
       return out;
     }
     if (status != 200) return out;
-    auto row = [](const json& r) {
+    auto entry = [](const json& r) {
       object(r);
-      return StateRow{name(r, kKey), r.at(kValue), count(r, kStamp)};
+      return KeyValue{name(r, kKey), r.at(kValue), count(r, kStamp)};
     };
-    if (std::holds_alternative<StateGet>(request)) {
-      out.rows.push_back(row(v));
-    } else if (std::holds_alternative<StateList>(request)) {
-      const json& rows = need(v, kRows);
-      if (!rows.is_array()) fail(kRows, "must be a list");
-      for (const json& r : rows) out.rows.push_back(row(r));
+    if (std::holds_alternative<GetKey>(request)) {
+      out.entries.push_back(entry(v));
+    } else if (std::holds_alternative<ListPrefix>(request)) {
+      const json& entries = need(v, kRows);
+      if (!entries.is_array()) fail(kRows, "must be a list");
+      for (const json& r : entries) out.entries.push_back(entry(r));
       out.more = flag(v, kMore, false);
       out.revision = count(v, kEpoch);
-    } else if (std::holds_alternative<StateCommit>(request)) {
+    } else if (std::holds_alternative<Transaction>(request)) {
       out.revision = count(v, kEpoch);
-    } else if (std::holds_alternative<StateLease>(request)) {
+    } else if (std::holds_alternative<GrantLease>(request)) {
       out.lease = count(v, kLease);
     }
-    out.outcome = StateAnswer::Outcome::ok;
+    out.outcome = StoreResponse::Outcome::ok;
     return out;
   } catch (const Malformed&) {
   } catch (const json::exception&) {
--- a/src/wire/wire.h
+++ b/src/wire/wire.h
@@ -30,11 +30,11 @@
 std::string body_of(const ReportReply& reply);
 
 // ---- requests that we send, and their answers ----------------------------------------------------
-HttpRequest request_of(const StateRequest& request);
+HttpRequest request_of(const StoreRequest& request);
 HttpRequest request_of(const CloudRequest& request);
 HttpRequest request_of(const OrdersRequest& request);
 
-StateAnswer state_answer(const StateRequest& request, int status, std::string_view body);
+StoreResponse store_response(const StoreRequest& request, int status, std::string_view body);
 CloudAnswer cloud_answer(const CloudRequest& request, int status, std::string_view body);
 OrdersAnswer orders_answer(int status, std::string_view body);
 
--- a/tests/holdings_test.cpp
+++ b/tests/holdings_test.cpp
@@ -9,7 +9,7 @@
 namespace bendtide::sim {
 namespace {
 
-using Outcome = StateAnswer::Outcome;
+using Outcome = StoreResponse::Outcome;
 
 // The record of a holding goes with the lease that it was written under. A taking that was carried out, while
 // only its answer was late, once counted under the next lease: the part was acted for without any record.
@@ -19,28 +19,28 @@
     t.context.settings.peers = {{"b", "z", "b:1"}};
     ShardLeases holdings(
         t.state, t.fleet, [](Shard&) {}, [](const std::string&) {});
-    StateAnswer lease;
+    StoreResponse lease;
     lease.outcome = Outcome::ok;
     lease.lease = 7;
     t.collect([&] { holdings.tick(); });
-    ASSERT_TRUE(std::holds_alternative<StateLease>(t.calls.at(0).request));
+    ASSERT_TRUE(std::holds_alternative<GrantLease>(t.calls.at(0).request));
     t.answer(0, lease);
     t.collect([&] { holdings.on_lease_transfer({"b", 30, false, {}}); });
     const std::size_t taking = t.calls.size() - 1;
-    ASSERT_TRUE(std::holds_alternative<StateCommit>(t.calls.at(taking).request));
+    ASSERT_TRUE(std::holds_alternative<Transaction>(t.calls.at(taking).request));
     if (lease_ends) {
       t.context.now += t.context.settings.lease_term() / 6;
       t.collect([&] { holdings.tick(); });
-      const auto renewal = std::find_if(t.calls.begin(), t.calls.end(), [](const StateCall& call) {
-        return std::holds_alternative<StateRenew>(call.request);
+      const auto renewal = std::find_if(t.calls.begin(), t.calls.end(), [](const StoreCall& call) {
+        return std::holds_alternative<RenewLease>(call.request);
       });
       ASSERT_NE(renewal, t.calls.end());
-      StateAnswer ended;
+      StoreResponse ended;
       ended.outcome = Outcome::absent;
       t.answer(static_cast<std::size_t>(renewal - t.calls.begin()), ended);
       t.collect([&] { holdings.tick(); });
-      const auto next = std::find_if(t.calls.rbegin(), t.calls.rend(), [](const StateCall& call) {
-        return std::holds_alternative<StateLease>(call.request);
+      const auto next = std::find_if(t.calls.rbegin(), t.calls.rend(), [](const StoreCall& call) {
+        return std::holds_alternative<GrantLease>(call.request);
       });
       lease.lease = 8;
       t.collect([&] { t.state.store.on_answer(next->call, lease); });
--- a/tests/late_answer_test.cpp
+++ b/tests/late_answer_test.cpp
@@ -9,7 +9,7 @@
 namespace bendtide::sim {
 namespace {
 
-using Outcome = StateAnswer::Outcome;
+using Outcome = StoreResponse::Outcome;
 
 // The incident: the job was accepted, found in the state service by its cancellation, cancelled, and
 // forgotten here; then the answer to the write that had accepted it arrived. The job began anew and was done
@@ -42,10 +42,10 @@
   Scheduler scheduler(t.state, t.fleet);
   ContractNet net(t.state, scheduler, {[] {}});
   const records::Award award{"b", {{0, 1}}, {"b", HandAnswered::spec(), seconds(1'000'000)}};
-  const StateRow row{records::award_key("a", kTask.job, 1), records::to_json(award), 19};
+  const KeyValue entry{records::award_key("a", kTask.job, 1), records::to_json(award), 19};
   for (const bool has_ended : {true, false}) {
     if (has_ended) net.on_ended({kTask.job});
-    net.load_awards(t.shard, {row}, t.context.now);
+    net.load_awards(t.shard, {entry}, t.context.now);
     EXPECT_EQ(t.shard.jobs.contains(kTask.job), !has_ended);
     t.state.final_states = {};
   }
@@ -59,7 +59,7 @@
   job.owner = "b";
   t.shard.awards_known(t.context.now, seconds(10));
   t.collect([&] { t.jobs.on_malformed(1, kTask.job, "a repeat"); });
-  StateAnswer absent;
+  StoreResponse absent;
   absent.outcome = Outcome::absent;
   t.answer(0, absent);
   t.answer(
@@ -100,11 +100,11 @@
   Job& job = t.add_job();
   t.cancel();
   ASSERT_EQ(t.calls.size(), 1u);
-  const std::vector<Condition>& conditions = t.commit(0).conditions;
-  EXPECT_TRUE(std::any_of(conditions.begin(), conditions.end(), [](const Condition& c) {
-    return c.key == records::job_key(kTask.job) && c.stamp == 0;
+  const std::vector<Compare>& compares = t.commit(0).compares;
+  EXPECT_TRUE(std::any_of(compares.begin(), compares.end(), [](const Compare& c) {
+    return c.key == records::job_key(kTask.job) && c.revision == 0;
   }));
-  StateAnswer refused;
+  StoreResponse refused;
   refused.outcome = Outcome::conflict;
   refused.failed = {records::job_key(kTask.job)};
   t.answer(0, refused);
@@ -126,7 +126,7 @@
   EXPECT_EQ(t.replies[0].status, 503);
   ASSERT_EQ(t.context.timers.size(), 1u);
   t.collect([&] { t.context.timers.begin()->second(); });
-  StateAnswer refused;
+  StoreResponse refused;
   refused.outcome = Outcome::conflict;
   refused.failed = {records::job_key(kTask.job)};
   t.answer(1, refused);
--- a/tests/machine_test.cpp
+++ b/tests/machine_test.cpp
@@ -66,7 +66,7 @@
 TEST(HeldReports, AndTheOrderLostInTheSameCutAreNoSignOfDeafness) {
   HeldPart t;
   t.shard.settle(t.machine(), true);
-  t.at<LogLine>(101.5, [&] { t.fleet.on_orders_answer(1, {OrdersAnswer::Outcome::lost, {}}); });
+  t.at<LogLine>(101.5, [&] { t.fleet.on_orders_answer(1, {OrdersAnswer::Outcome::unknown, {}}); });
   t.at<LogLine>(111, [&] {
     for (std::uint64_t sequence = 4; sequence < 9; ++sequence)
       t.fleet.on_report(sequence, t.report(5, 1, sequence, false));
@@ -98,7 +98,7 @@
   for (const auto& step : {std::pair(107.0, 0), std::pair(112.0, 2)}) {
     const double moment = step.first;
     const int signs = step.second;
-    t.at<LogLine>(moment - 4, [&] { t.fleet.on_orders_answer(call, {OrdersAnswer::Outcome::lost, {}}); });
+    t.at<LogLine>(moment - 4, [&] { t.fleet.on_orders_answer(call, {OrdersAnswer::Outcome::unknown, {}}); });
     const auto calls = t.at<WorkerCall>(moment, [&] {
       t.fleet.on_report(call, t.report(10, 1, static_cast<std::uint64_t>(moment), false));
       t.fleet.push_orders(t.shard);
@@ -108,7 +108,7 @@
     call = calls[0].call;
   }
   t.at<LogLine>(117, [&] {
-    t.fleet.on_orders_answer(call, {OrdersAnswer::Outcome::lost, {}});
+    t.fleet.on_orders_answer(call, {OrdersAnswer::Outcome::unknown, {}});
     t.fleet.on_report(call, t.report(10, 1, 117, false));
     t.fleet.tick();
   });
--- a/tests/question_test.cpp
+++ b/tests/question_test.cpp
@@ -12,7 +12,7 @@
 struct AskedController : HeldPart {
   Jobs jobs{state, {[](Shard&) {}, [] {}}};
   std::uint64_t next_request = 1;
-  std::vector<StateCall> reads;
+  std::vector<StoreCall> reads;
   std::vector<JobQuery> redirected_heartbeats;
   std::vector<UserReply> answers;
 
@@ -24,7 +24,7 @@
     context.actions.clear();
     what();
     for (const Action& action : context.actions) {
-      if (auto* call = std::get_if<StateCall>(&action)) reads.push_back(*call);
+      if (auto* call = std::get_if<StoreCall>(&action)) reads.push_back(*call);
       if (auto* answer = std::get_if<AnswerUser>(&action)) answers.push_back(answer->reply);
       if (auto* send = std::get_if<PeerSend>(&action))
         if (auto* query = std::get_if<JobQuery>(&send->message)) redirected_heartbeats.push_back(*query);
@@ -36,26 +36,26 @@
     });
   }
   /// The state service answers the read sent last.
-  void read_answered(const StateAnswer& answer) {
+  void read_answered(const StoreResponse& answer) {
     const std::uint64_t call = reads.back().call;
     collect([&] { state.store.on_answer(call, answer); });
   }
 };
 
-StateAnswer absent() {
-  StateAnswer answer;
-  answer.outcome = StateAnswer::Outcome::absent;
+StoreResponse absent() {
+  StoreResponse answer;
+  answer.outcome = StoreResponse::Outcome::absent;
   return answer;
 }
 
-StateAnswer live() {
+StoreResponse live() {
   records::LiveJob record;
   record.shard = "b";
   record.spec.id = kTask.job;
   record.spec.tasks = 1;
-  StateAnswer answer;
-  answer.outcome = StateAnswer::Outcome::ok;
-  answer.rows = {{records::live_key(kTask.job), records::to_json(record), 7}};
+  StoreResponse answer;
+  answer.outcome = StoreResponse::Outcome::ok;
+  answer.entries = {{records::live_key(kTask.job), records::to_json(record), 7}};
   return answer;
 }
 
--- a/tests/sim/action_digest.cpp
+++ b/tests/sim/action_digest.cpp
@@ -17,7 +17,7 @@
 struct Encoder {
   const std::string& host;
 
-  std::vector<std::string> operator()(const StateCall& call) const {
+  std::vector<std::string> operator()(const StoreCall& call) const {
     return fields_of(wire::request_of(call.request));
   }
   std::vector<std::string> operator()(const CloudCall& call) const {
--- a/tests/sim/day.cpp
+++ b/tests/sim/day.cpp
@@ -26,10 +26,10 @@
   s.report_every = seconds(plan.slow_reports ? 4 : 1.5);
   s.worker_lease = seconds(plan.slow_reports ? 20 : 12);
   s.cancel_within = seconds(40);
-  s.state_calls_per_s = 200;
-  s.state_writes_per_s = 60;
-  s.state_value_bytes = plan.small_values ? 900 : 8 * 1024;
-  s.state_transaction_writes = plan.small_values ? 5 : 12;
+  s.store_requests_per_s = 200;
+  s.store_writes_per_s = 60;
+  s.store_value_bytes = plan.small_values ? 900 : 8 * 1024;
+  s.store_transaction_writes = plan.small_values ? 5 : 12;
   s.cloud_calls_per_s = 4;
   s.cloud_list_lag = seconds(3);
   s.sockets = 800;
@@ -210,27 +210,27 @@
   struct Visitor {
     Day& d;
     Node& node;
-    void operator()(StateCall& a) {
-      if (std::holds_alternative<StateCommit>(a.request) && d.now_ < d.transactions_late_until_ &&
+    void operator()(StoreCall& a) {
+      if (std::holds_alternative<Transaction>(a.request) && d.now_ < d.transactions_late_until_ &&
           !d.state_out_ && d.chance() < 0.3) {
         ++d.seen_["transactions carried out late"];
         d.after(seconds(2 + d.chance() * 10),
                 [day = &d, http = wire::request_of(a.request)] { day->state_.handle(http, day->now_); });
         return d.after(seconds(1), [day = &d, n = &node, life = node.life, call = a.call] {
-          day->on_node(*n, life, [call](Controller& c) { c.on_state(call, StateAnswer{}); });
+          day->on_node(*n, life, [call](Controller& c) { c.on_store_response(call, StoreResponse{}); });
         });
       }
-      d.call<StateAnswer>(
+      d.call<StoreResponse>(
           node, kState, seconds(1),
           [day = &d, request = a.request, host = node.host] {
-            if (day->refused_hosts_.contains(host)) return wire::state_answer(request, 503, "{}");
+            if (day->refused_hosts_.contains(host)) return wire::store_response(request, 503, "{}");
             if (day->plan_.wide)
               day->copy_later(
                   [day, http = wire::request_of(request)] { day->state_.handle(http, day->now_); });
             Response r = day->state_.handle(wire::request_of(request), day->now_);
-            return wire::state_answer(request, r.status, r.body);
+            return wire::store_response(request, r.status, r.body);
           },
-          [call = a.call](Controller& c, const StateAnswer& answer) { c.on_state(call, answer); });
+          [call = a.call](Controller& c, const StoreResponse& answer) { c.on_store_response(call, answer); });
     }
     void operator()(CloudCall& a) {
       d.call<CloudAnswer>(
--- a/tests/sim/hand_answered.h
+++ b/tests/sim/hand_answered.h
@@ -8,7 +8,7 @@
 /// A controller whose calls to the state service are answered by hand, in any order.
 struct HandAnswered : HeldPart {
   Jobs jobs{state, {[](Shard&) {}, [] {}}};
-  std::vector<StateCall> calls;
+  std::vector<StoreCall> calls;
   std::vector<UserReply> replies;
 
   HandAnswered() {
@@ -28,7 +28,7 @@
     context.actions.clear();
     event();
     for (const Action& action : context.actions) {
-      if (auto* call = std::get_if<StateCall>(&action)) calls.push_back(*call);
+      if (auto* call = std::get_if<StoreCall>(&action)) calls.push_back(*call);
       if (auto* answer = std::get_if<AnswerUser>(&action)) replies.push_back(answer->reply);
     }
   }
@@ -41,27 +41,27 @@
   void tick() {
     collect([&] { jobs.tick(); });
   }
-  void answer(std::size_t call, const StateAnswer& with) {
+  void answer(std::size_t call, const StoreResponse& with) {
     collect([&] { state.store.on_answer(calls.at(call).call, with); });
   }
-  const StateCommit& commit(std::size_t call) const { return std::get<StateCommit>(calls.at(call).request); }
+  const Transaction& commit(std::size_t call) const { return std::get<Transaction>(calls.at(call).request); }
 };
 
-inline StateAnswer written(std::uint64_t revision) {
-  StateAnswer answer;
-  answer.outcome = StateAnswer::Outcome::ok;
+inline StoreResponse written(std::uint64_t revision) {
+  StoreResponse answer;
+  answer.outcome = StoreResponse::Outcome::ok;
   answer.revision = revision;
   return answer;
 }
 
-inline StateAnswer found(const std::string& key, Value value, std::uint64_t stamp) {
-  StateAnswer answer;
-  answer.outcome = StateAnswer::Outcome::ok;
-  answer.rows = {{key, std::move(value), stamp}};
+inline StoreResponse found(const std::string& key, Value value, std::uint64_t revision) {
+  StoreResponse answer;
+  answer.outcome = StoreResponse::Outcome::ok;
+  answer.entries = {{key, std::move(value), revision}};
   return answer;
 }
 
-inline StateAnswer live_record() {
+inline StoreResponse live_record() {
   const records::LiveJob record{"a", HandAnswered::spec(), seconds(1'000'000)};
   return found(records::live_key(kTask.job), records::to_json(record), 20);
 }
--- a/tests/sim/held_part.h
+++ b/tests/sim/held_part.h
@@ -18,10 +18,10 @@
     s.cancel_within = seconds(42);
     s.sockets = 100;
     s.cloud_calls_per_s = 100;
-    s.state_calls_per_s = 100;
-    s.state_writes_per_s = 60;
-    s.state_transaction_writes = 12;
-    s.state_value_bytes = 8 * 1024;
+    s.store_requests_per_s = 100;
+    s.store_writes_per_s = 60;
+    s.store_transaction_writes = 12;
+    s.store_value_bytes = 8 * 1024;
     return s;
   }
 
--- a/tests/sim/services.cpp
+++ b/tests/sim/services.cpp
@@ -61,23 +61,23 @@
   if (r.method == "GET" && r.target.starts_with(std::string(kKeys) + "?")) {
     const std::string prefix = parameter(r.target, kUnder), from = parameter(r.target, kFrom);
     const auto most = std::stoul(parameter(r.target, kMost));
-    json rows = json::array();
+    json entries = json::array();
     bool more = false;
     for (auto it = data_.lower_bound(prefix); it != data_.end() && it->first.starts_with(prefix); ++it) {
       if (it->first <= from) continue;
-      if (rows.size() >= most) {
+      if (entries.size() >= most) {
         more = true;
         break;
       }
-      rows.push_back({{kKey, it->first}, {kValue, it->second.value}, {kStamp, it->second.stamp}});
+      entries.push_back({{kKey, it->first}, {kValue, it->second.value}, {kStamp, it->second.revision}});
     }
-    return {200, json{{kRows, rows}, {kMore, more}, {kEpoch, revision_}}.dump()};
+    return {200, json{{kRows, entries}, {kMore, more}, {kEpoch, revision_}}.dump()};
   }
   if (r.method == "GET") {
     const std::string key = key_in_path(r.target, kKeys);
     auto it = data_.find(key);
     if (it == data_.end()) return {404, json{{kEpoch, revision_}}.dump()};
-    return {200, json{{kKey, key}, {kValue, it->second.value}, {kStamp, it->second.stamp}}.dump()};
+    return {200, json{{kKey, key}, {kValue, it->second.value}, {kStamp, it->second.revision}}.dump()};
   }
   if (r.target == kMulti) return multi(json::parse(r.body), now);
   if (r.target == kLeases) {
@@ -115,8 +115,8 @@
   json failed = json::array();
   for (const json& c : body.at(kWhen)) {
     auto it = data_.find(c.at(kKey).get<std::string>());
-    const std::uint64_t stamp = it == data_.end() ? 0 : it->second.stamp;
-    if (stamp != c.at(kStamp).get<std::uint64_t>()) failed.push_back(c.at(kKey));
+    const std::uint64_t revision = it == data_.end() ? 0 : it->second.revision;
+    if (revision != c.at(kStamp).get<std::uint64_t>()) failed.push_back(c.at(kKey));
   }
   if (!failed.empty()) return {409, json{{kFailed, failed}, {kEpoch, revision_}}.dump()};
   if (!writes.empty()) ++revision_;
@@ -193,16 +193,16 @@
     }
     return {200, "{}"};
   }
-  json rows = json::array();
+  json entries = json::array();
   for (const auto& [name, m] : machines_)
-    rows.push_back({{kUid, name},
-                    {kAddress, m.address},
-                    {kType, m.type},
-                    {kZone, m.zone},
-                    {kSpot, m.spot},
-                    {kPhase, "running"},
-                    {kAge, in_seconds(now - m.rented)}});
-  return {200, json{{kMachineList, rows}, {kMore, false}}.dump()};
+    entries.push_back({{kUid, name},
+                       {kAddress, m.address},
+                       {kType, m.type},
+                       {kZone, m.zone},
+                       {kSpot, m.spot},
+                       {kPhase, "running"},
+                       {kAge, in_seconds(now - m.rented)}});
+  return {200, json{{kMachineList, entries}, {kMore, false}}.dump()};
 }
 
 // ---- worker --------------------------------------------------------------------------------------
--- a/tests/sim/services.h
+++ b/tests/sim/services.h
@@ -21,10 +21,10 @@
 class StateService {
  public:
   explicit StateService(const Settings& s)
-      : calls_(s.state_calls_per_s, s.state_calls_per_s),
-        writes_(s.state_writes_per_s, s.state_writes_per_s),
-        most_writes_(s.state_transaction_writes),
-        value_bytes_(s.state_value_bytes) {}
+      : calls_(s.store_requests_per_s, s.store_requests_per_s),
+        writes_(s.store_writes_per_s, s.store_writes_per_s),
+        most_writes_(s.store_transaction_writes),
+        value_bytes_(s.store_value_bytes) {}
 
   Response handle(const wire::HttpRequest& request, Micros now);
   /// An outage; when it ends, every lease has its full time again.
@@ -36,7 +36,7 @@
  private:
   struct Entry {  // NOLINT(bugprone-exception-escape): moving a JSON value throws nothing
     nlohmann::json value;
-    std::uint64_t stamp = 0;
+    std::uint64_t revision = 0;
     std::uint64_t lease = 0;
   };
   struct Lease {
--- a/tests/size_test.cpp
+++ b/tests/size_test.cpp
@@ -149,7 +149,7 @@
     s.host = "node-0";
     s.zone = "east";
     s.teams = {{"team", {100'000'000, 0}, {100'000'000, 0}}};
-    s.state_calls_per_s = s.state_writes_per_s = 1e6;
+    s.store_requests_per_s = s.store_writes_per_s = 1e6;
     s.sockets = 3000;
     return s;
   }
@@ -170,10 +170,10 @@
         held.push_back({o.task, o.attempt, TaskPhase::running, {}});
   }
   void perform(Action& action) {
-    if (auto* call = std::get_if<StateCall>(&action)) {
+    if (auto* call = std::get_if<StoreCall>(&action)) {
       ++state_calls_;
       const Response r = state_.handle(wire::request_of(call->request), now_);
-      core_->on_state(call->call, wire::state_answer(call->request, r.status, r.body));
+      core_->on_store_response(call->call, wire::store_response(call->request, r.status, r.body));
     } else if (auto* asked = std::get_if<CloudCall>(&action)) {
       ++cloud_calls_;
       if (auto* gone = std::get_if<CloudDelete>(&asked->request)) deleted_ += gone->machines.size();
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -106,54 +106,54 @@
 }
 
 TEST(StateAnswers, EachStatusIsToldApart) {
-  using Outcome = StateAnswer::Outcome;
+  using Outcome = StoreResponse::Outcome;
   struct Case {
-    StateRequest request;
+    StoreRequest request;
     int status;
     const char* body;
     Outcome outcome;
   };
-  const StateGet get{"k"};
-  const StateCommit commit{{}, {{"k", Value(1), 0}}};
+  const GetKey get{"k"};
+  const Transaction commit{{}, {{"k", Value(1), 0}}};
   const std::vector<Case> cases = {
       {get, 200, R"({"path":"k","v":{"a":1},"stamp":7})", Outcome::ok},
-      {get, 200, R"({"path":"k","v":{"a":1},"stamp":-7})", Outcome::lost},
-      {get, 200, "nonsense", Outcome::lost},
+      {get, 200, R"({"path":"k","v":{"a":1},"stamp":-7})", Outcome::unknown},
+      {get, 200, "nonsense", Outcome::unknown},
       {get, 404, R"({"epoch":431})", Outcome::absent},
       {get, 429, "", Outcome::refused},
       {get, 503, "", Outcome::refused},
-      {commit, 503, "", Outcome::lost},
-      {get, 500, "", Outcome::lost},
-      {StateList{"k/", ""}, 200, R"({"rows":[{"path":"k/1","v":1,"stamp":2}],"more":false,"epoch":9})",
+      {commit, 503, "", Outcome::unknown},
+      {get, 500, "", Outcome::unknown},
+      {ListPrefix{"k/", ""}, 200, R"({"rows":[{"path":"k/1","v":1,"stamp":2}],"more":false,"epoch":9})",
        Outcome::ok},
-      {StateList{"k/", ""}, 200, R"({"rows":7,"epoch":9})", Outcome::lost},
+      {ListPrefix{"k/", ""}, 200, R"({"rows":7,"epoch":9})", Outcome::unknown},
       {commit, 200, R"({"epoch":10})", Outcome::ok},
-      {commit, 200, "{}", Outcome::lost},
+      {commit, 200, "{}", Outcome::unknown},
       {commit, 409, R"({"failed":["k"],"epoch":9})", Outcome::conflict},
       {commit, 400, R"({"error":"no such lease"})", Outcome::absent},
       {commit, 400, R"({"error":"too large"})", Outcome::refused},
-      {StateRenew{3}, 404, "", Outcome::absent},
-      {StateRenew{3}, 200, "{}", Outcome::ok},
+      {RenewLease{3}, 404, "", Outcome::absent},
+      {RenewLease{3}, 200, "{}", Outcome::ok},
   };
   for (const Case& c : cases)
-    EXPECT_EQ(state_answer(c.request, c.status, c.body).outcome, c.outcome) << c.status << " " << c.body;
+    EXPECT_EQ(store_response(c.request, c.status, c.body).outcome, c.outcome) << c.status << " " << c.body;
 }
 
 TEST(CloudAnswers, EachStatusIsToldApart) {
   using Outcome = CloudAnswer::Outcome;
   const CloudRent rent{"c", "t", "z", false, 1};
   EXPECT_EQ(cloud_answer(rent, 200, R"({"helms":["n-1"]})").outcome, Outcome::ok);
-  EXPECT_EQ(cloud_answer(rent, 200, R"({"helms":[1]})").outcome, Outcome::lost);
+  EXPECT_EQ(cloud_answer(rent, 200, R"({"helms":[1]})").outcome, Outcome::unknown);
   EXPECT_EQ(cloud_answer(rent, 503, R"({"error":"no capacity"})").outcome, Outcome::no_capacity);
   EXPECT_EQ(cloud_answer(rent, 503, R"({"error":"trouble"})").outcome, Outcome::refused);
   EXPECT_EQ(cloud_answer(rent, 429, "").outcome, Outcome::refused);
   EXPECT_EQ(cloud_answer(CloudDelete{{"n-1"}}, 200, "").outcome, Outcome::ok);
-  EXPECT_EQ(cloud_answer(CloudDelete{{"n-1"}}, 500, "").outcome, Outcome::lost);
+  EXPECT_EQ(cloud_answer(CloudDelete{{"n-1"}}, 500, "").outcome, Outcome::unknown);
 }
 
 TEST(OrdersAnswers, WithoutTheWorkersAccountAreNone) {
   using Outcome = OrdersAnswer::Outcome;
-  EXPECT_EQ(orders_answer(200, "{}").outcome, Outcome::lost);
+  EXPECT_EQ(orders_answer(200, "{}").outcome, Outcome::unknown);
   EXPECT_EQ(orders_answer(409, "{}").outcome, Outcome::refused);
   Report r;
   r.machine = r.address = r.type = r.zone = "x";
