--- a/lab/controllers.cpp
+++ b/lab/controllers.cpp
@@ -86,7 +86,7 @@
     out << "[[settings.teams]]\nname = \"" << team.name
         << "\"\ncpus = " << static_cast<double>(team.guarantee.cpu) / kPerCpu
         << "\ncpus_max = " << static_cast<double>(team.limit.cpu) * limit_factor / kPerCpu << "\n";
-  out << "[settings.workers]\nreport_s = " << in_seconds(s.report_every)
+  out << "[settings.workers]\nreport_s = " << in_seconds(s.heartbeat_interval)
       << "\nlease_s = " << in_seconds(s.worker_lease) << "\ncancel_s = " << in_seconds(s.cancel_within)
       << "\n[settings.state]\nrps = " << s.store_requests_per_s << "\nwrite_rps = " << s.store_writes_per_s
       << "\nvalue_kb = " << s.store_value_bytes / 1024 << "\ntxn_ops = " << s.store_transaction_writes
--- a/lab/laboratory.cpp
+++ b/lab/laboratory.cpp
@@ -8,7 +8,7 @@
   Settings s;
   s.zones = {"east", "west"};
   s.teams = {{"blue", {16000, 0}, {48000, 0}}, {"green", {16000, 0}, {30000, 0}}};
-  s.report_every = seconds(1);
+  s.heartbeat_interval = seconds(1);
   s.worker_lease = seconds(9);
   s.cancel_within = seconds(30);
   s.store_requests_per_s = 300;
--- a/src/app/config.cpp
+++ b/src/app/config.cpp
@@ -130,10 +130,10 @@
     s.objectives.push_back(std::move(o));
   });
   const Section workers = settings.section("workers");
-  s.report_every = seconds(workers.positive("report_s"));
+  s.heartbeat_interval = seconds(workers.positive("report_s"));
   s.worker_lease = seconds(workers.positive("lease_s"));
   s.cancel_within = seconds(workers.positive("cancel_s"));
-  if (s.worker_lease < s.report_every) workers.fail("lease_s", "must not be below report_s");
+  if (s.worker_lease < s.heartbeat_interval) workers.fail("lease_s", "must not be below report_s");
   if (s.cancel_within <= s.worker_lease + seconds(2)) workers.fail("cancel_s", "must be well above lease_s");
   if (s.cancelled_gone_within() > s.cancel_within)
     workers.fail("cancel_s", "a cancelled task could not be gone in time: must be well above lease_s");
--- a/src/app/daemon.cpp
+++ b/src/app/daemon.cpp
@@ -103,7 +103,7 @@
     void operator()(AnswerUser& a) {
       d.reply(a.request, {a.reply.status, wire::body_of(a.reply), a.reply.retry_after_s, kJson});
     }
-    void operator()(AnswerWorker& a) {
+    void operator()(AnswerHeartbeat& a) {
       d.reply(a.request, {a.reply.status, wire::body_of(a.reply), 0, kJson});
     }
     void operator()(AnswerAdmin& a) { d.reply(a.request, {a.status, a.body.dump(2), 0, kJson}); }
@@ -143,17 +143,17 @@
   leave();
 }
 
-io::Task<> Daemon::call_worker(std::uint64_t call, OrdersRequest request) {
+io::Task<> Daemon::call_worker(std::uint64_t call, CommandRequest request) {
   wire::HttpRequest http = wire::request_of(request);
   const Micros began = loop_.now();
   io::HttpClient client(loop_, request.address, 0, kWorkerBody);
   auto result = co_await client.call(std::move(http.method), std::move(http.target), std::move(http.body),
                                      kOrdersWithin);
-  const auto answer = answer_of<OrdersAnswer>(result, wire::orders_answer);
+  const auto answer = answer_of<CommandResponse>(result, wire::command_response);
   metrics_.observe(Metrics::Kind::orders, loop_.now() - began,
-                   answer.outcome == OrdersAnswer::Outcome::executed);
+                   answer.outcome == CommandResponse::Outcome::executed);
   enter();
-  core_.on_orders(call, answer);
+  core_.on_command_response(call, answer);
   leave();
 }
 
@@ -262,9 +262,9 @@
   }
   if (path == kCheckin) {
     if (!post) co_return error(405, "POST only");
-    auto report = wire::report(request.body);
-    if (auto* why = std::get_if<std::string>(&report)) co_return error(400, *why);
-    Event event = [&](std::uint64_t id) { core_.on_report(id, std::get<Report>(report)); };
+    auto heartbeat = wire::heartbeat(request.body);
+    if (auto* why = std::get_if<std::string>(&heartbeat)) co_return error(400, *why);
+    Event event = [&](std::uint64_t id) { core_.on_heartbeat(id, std::get<Heartbeat>(heartbeat)); };
     co_return co_await ask(std::move(event), kAnswerWithin);
   }
   if (path == kWork) {
--- a/src/app/daemon.h
+++ b/src/app/daemon.h
@@ -55,7 +55,7 @@
   template <class Answer, class Request, class Read, class Done>
   io::Task<> call_service(io::HttpClient& client, Request request, Micros within, Metrics::Kind kind,
                           Read read, Done done);
-  io::Task<> call_worker(std::uint64_t call, OrdersRequest request);
+  io::Task<> call_worker(std::uint64_t call, CommandRequest request);
   void reply(std::uint64_t request, Reply reply);
 
   Settings settings_;
--- a/src/codec/codec.cpp
+++ b/src/codec/codec.cpp
@@ -199,7 +199,7 @@
 void describe(A& a, M& m) {
   a.fields(m.shard, m.fencing_token, m.asked_for);
   a.list(m.unreachable, [](auto& b, auto& s) {
-    b.fields(s.machine, s.heard_ago, s.answered_ago);
+    b.fields(s.machine, s.status_ago, s.reply_ago);
     b.list(s.tasks, [](auto& c, auto& t) {
       c.fields(t.task.job, t.task.index, t.attempt), c.field(t.phase, TaskPhase::exited);
     });
--- a/src/core/calls.h
+++ b/src/core/calls.h
@@ -93,23 +93,23 @@
 };
 
 // ---- workers -------------------------------------------------------------------------------------
-struct OrdersRequest {
+struct CommandRequest {
   std::string address;
-  std::uint64_t session = 0;
+  std::uint64_t incarnation = 0;
   std::uint64_t fencing_token = 0;
-  std::vector<Order> orders;
+  std::vector<Command> commands;
 };
 
-struct OrdersAnswer {
+struct CommandResponse {
   enum class Outcome : std::uint8_t { executed, refused, unknown };
   Outcome outcome = Outcome::unknown;
-  std::optional<Report> report;
+  std::optional<Heartbeat> heartbeat;
 };
 
-struct ReportReply {
+struct HeartbeatReply {
   int status = 503;
   std::uint64_t fencing_token = 0;
-  std::vector<Order> orders;
+  std::vector<Command> commands;
   std::string redirect;  ///< host of another controller, with 421
 };
 
@@ -200,9 +200,9 @@
 /// What may be on a machine that is silent, as far as the sender knows.
 struct UnreachableMachine {
   std::string machine;
-  Micros heard_ago{0};
-  Micros answered_ago{0};
-  std::vector<ReportedTask> tasks;
+  Micros status_ago{0};
+  Micros reply_ago{0};
+  std::vector<TaskStatus> tasks;
 };
 /// The sender has let go of a part: the receiver may take it, over this very record.
 struct LeaseTransfer {
@@ -241,7 +241,7 @@
 };
 struct WorkerCall {
   std::uint64_t call = 0;
-  OrdersRequest request;
+  CommandRequest request;
 };
 struct PeerSend {
   std::string host;
@@ -251,9 +251,9 @@
   std::uint64_t request = 0;
   UserReply reply;
 };
-struct AnswerWorker {
+struct AnswerHeartbeat {
   std::uint64_t request = 0;
-  ReportReply reply;
+  HeartbeatReply reply;
 };
 struct AnswerAdmin {
   std::uint64_t request = 0;
@@ -264,7 +264,7 @@
   LogLevel level = LogLevel::info;
   std::string text;
 };
-using Action =
-    std::variant<StoreCall, CloudCall, WorkerCall, PeerSend, AnswerUser, AnswerWorker, AnswerAdmin, LogLine>;
+using Action = std::variant<StoreCall, CloudCall, WorkerCall, PeerSend, AnswerUser, AnswerHeartbeat,
+                            AnswerAdmin, LogLine>;
 
 }  // namespace bendtide
--- a/src/core/claims.h
+++ b/src/core/claims.h
@@ -17,26 +17,26 @@
 
 namespace bendtide {
 
-class Claims {
+class MachineOwnership {
  public:
   struct Hooks {
     /// A machine is claimed. Settled: nobody can have used it before.
-    std::function<void(Shard&, const Machine&, bool settled)> claimed;
-    std::function<void()> learned;  ///< the claims have been read
+    std::function<void(Shard&, const Machine&, bool reconciled)> on_owned;
+    std::function<void()> on_reloaded;  ///< the claims have been read
     std::function<void()> invalidate_leases;
   };
-  Claims(ControllerState& state, Hooks hooks) : state_(state), hooks_(std::move(hooks)) {}
+  MachineOwnership(ControllerState& state, Hooks hooks) : state_(state), hooks_(std::move(hooks)) {}
 
   /// Writes what is to be written.
   void tick();
   /// A machine that nobody is known to have claimed: it is claimed for `part` with one of the next writes.
-  void want(Shard& shard, Machine machine);
+  void request(Shard& shard, Machine machine);
   /// A machine of a part is up: its claim is to name its address.
-  void came_up(Shard& shard, const Machine& machine);
+  void on_machine_up(Shard& shard, const Machine& machine);
   /// A machine of a part is gone.
-  void forget(Shard& shard, const Machine& machine);
+  void remove(Shard& shard, const Machine& machine);
   /// Reads all claims once more, before long.
-  void doubt() { doubted_ = true; }
+  void invalidate() { invalidated_ = true; }
   /// All claims, as read for a part that is being loaded: its machines are added, not settled.
   void load(Shard& shard, const std::vector<KeyValue>& entries);
   void on_shard_lost(const std::string& shard);
@@ -49,25 +49,25 @@
   std::string home_shard(const std::string& machine, const std::string& zone) const;
 
  private:
-  void learn(const std::vector<KeyValue>& entries);
-  void add_block(Shard& shard, std::uint32_t number, const KeyValue& entry, bool settled) const;
-  void relearn();
+  void apply_records(const std::vector<KeyValue>& entries);
+  void add_block(Shard& shard, std::uint32_t number, const KeyValue& entry, bool reconciled) const;
+  void reload();
   void write_new(Shard& shard);
   void on_written(const std::string& shard, std::uint64_t leadership_term, std::uint32_t block,
                   std::vector<Machine> batch, const std::set<std::string>& homes, const StoreResponse& a);
   void rewrite(Shard& shard, bool urgent_only);
-  std::vector<records::ClaimedMachine> machines_of(const Shard& shard, std::uint32_t block) const;
+  std::vector<records::OwnedMachine> machines_of(const Shard& shard, std::uint32_t block) const;
 
   ControllerState& state_;
   Hooks hooks_;
-  std::map<std::string, std::string> shard_of_;          ///< machine -> part
-  std::map<std::string, std::uint64_t> home_revisions_;  ///< as of the reading that shard_of_ is from
-  std::map<std::string, std::deque<Machine>> wanted_;    ///< by part
-  std::set<std::string> wanted_names_;
+  std::map<std::string, std::string> shard_of_;                ///< machine -> part
+  std::map<std::string, std::uint64_t> home_shard_revisions_;  ///< as of the reading that shard_of_ is from
+  std::map<std::string, std::deque<Machine>> requested_;       ///< by part
+  std::set<std::string> requested_names_;
   bool writing_ = false;
-  bool reading_ = false;
-  bool doubted_ = false;
-  Micros next_reading_{0};
+  bool reloading_ = false;
+  bool invalidated_ = false;
+  Micros next_reload_{0};
   Micros next_rewrite_{0};
   Micros next_urgent_{0};
 };
--- a/src/core/contract.cpp
+++ b/src/core/contract.cpp
@@ -52,15 +52,15 @@
       return !j.second.awards.empty() && j.second.owner.empty();
     });
     if (awarded && now >= shard.next_progress) read_progress(shard);
-    if (now >= shard.awards_good_until)
-      for (auto& [machine, m] : shard.machines) stop_doubtful(shard, m);
+    if (now >= shard.awards_valid_until)
+      for (auto& [machine, m] : shard.machines) stop_stale_awards(shard, m);
     else
       start_calls(shard);
   }
 }
 
-void ContractNet::stop_doubtful(Shard& shard, Machine& m) {
-  if (state_.now() < shard.awards_good_until) return;
+void ContractNet::stop_stale_awards(Shard& shard, Machine& m) {
+  if (state_.now() < shard.awards_valid_until) return;
   for (auto& [id, p] : m.tasks) {
     auto it = shard.jobs.find(id.task.job);
     if (!p.wanted || it == shard.jobs.end() || !shard.award_is_stale(it->second, state_.now())) continue;
@@ -69,7 +69,7 @@
       return task.job + "/" + std::to_string(task.index) + " is not wanted on " + m.name +
              " any more: its award was last read too long ago";
     });
-    shard.push_to(m);
+    shard.request_push(m);
   }
 }
 
@@ -168,7 +168,7 @@
   auto job_it = shard->jobs.find(n.call.job);
   if (job_it == shard->jobs.end()) return;
   Job& job = job_it->second;
-  if (!job.can_start(state_.now()) || job.unsettled) return;
+  if (!job.can_start(state_.now()) || job.unreconciled) return;
 
   // Hard limits: some tasks, and a room version to hold the award against.
   std::vector<Proposal> feasible;
@@ -493,7 +493,7 @@
     if (p == nullptr) return;
     p->reading_awards = false;
     if (!a.ok()) return;
-    p->awards_known(asked, state_.context.settings.lease_term());
+    p->awards_read(asked, state_.context.settings.lease_term());
     p->changed();
     load_awards(*p, a.entries, asked);
     // What is no longer awarded to us is over: done, or cancelled by its owner.
@@ -526,8 +526,8 @@
         job.owner = award->owner;
         job.tasks.assign(job.spec.tasks, {Task::State::elsewhere, nullptr, 0});
         job.recorded.assign(job.spec.tasks, false);
-        job.unsettled = !shard.ready();
-        shard.unsettled_jobs |= job.unsettled;
+        job.unreconciled = !shard.ready();
+        shard.has_unreconciled_jobs |= job.unreconciled;
         it = shard.jobs.emplace(id, std::move(job)).first;
       }
       Job& job = it->second;
--- a/src/core/contract.h
+++ b/src/core/contract.h
@@ -24,7 +24,7 @@
   void on_progress(const std::string& shard);
   /// Awarded tasks go once we can't tell any more whether they still are ours: their job may be cancelled. To
   /// be called before each answer to a worker, which renews its lease: no renewal without the stop.
-  void stop_doubtful(Shard& shard, Machine& m);
+  void stop_stale_awards(Shard& shard, Machine& m);
   /// Applies the award records of a part when it is loaded.
   /// `asked`: when they were asked for.
   void load_awards(Shard& shard, const std::vector<KeyValue>& entries, Micros asked);
--- a/src/core/controller.cpp
+++ b/src/core/controller.cpp
@@ -17,7 +17,7 @@
     : context_{std::move(settings), {}, std::move(incarnation), std::mt19937_64(seed), {}, {}, {}, {}},
       state_(context_),
       fleet_(state_, {[this](Shard& p, Machine& m) {
-                        net_.stop_doubtful(p, m);
+                        net_.stop_stale_awards(p, m);
                         scheduler_.fill(p, m);
                       },
                       [this] { shard_leases_.invalidate(); }}),
@@ -36,7 +36,7 @@
 
 void Controller::schedule(Shard& shard) {
   scheduler_.pass(shard);
-  fleet_.push_orders(shard);
+  fleet_.push_commands(shard);
 }
 
 void Controller::tick() {
@@ -81,7 +81,8 @@
       if (stood_still && reply != nullptr && !is_final(reply->phase)) reply->status = 503;
       // Nor may starts be sent for what may be cancelled by now. They count as not sent by the next report.
       if (auto* call = std::get_if<WorkerCall>(&action); stood_still && call != nullptr)
-        std::erase_if(call->request.orders, [](const Order& o) { return o.kind == Order::Kind::start; });
+        std::erase_if(call->request.commands,
+                      [](const Command& o) { return o.kind == Command::Kind::start; });
       if (send != nullptr && send->host == state_.self())
         on_peer(state_.self(), send->message);
       else
@@ -186,7 +187,7 @@
   };
   struct Gathered {
     Micros asked{0};
-    std::vector<KeyValue> live, claims, awards, done;
+    std::vector<KeyValue> live, owned_machines, awards, done;
     int missing = 4;
     bool failed = false;
   };
@@ -203,32 +204,32 @@
       Shard* p = state_.shard_in_term(name, leadership_term);
       if (p == nullptr) return;
       if (gathered->failed || state_.catalogue.empty()) return retry();
-      loaded(*p, gathered->asked, gathered->live, gathered->claims, gathered->awards, gathered->done);
+      loaded(*p, gathered->asked, gathered->live, gathered->owned_machines, gathered->awards, gathered->done);
     };
   };
   state_.store.list(records::kLivePrefix, collect(&Gathered::live));
-  state_.store.list(records::kClaimPrefix, collect(&Gathered::claims));
+  state_.store.list(records::kOwnershipPrefix, collect(&Gathered::owned_machines));
   state_.store.list(records::kAwardPrefix, collect(&Gathered::awards));
   state_.store.list(records::kDonePrefix, collect(&Gathered::done));
 }
 
 void Controller::loaded(Shard& shard, Micros asked, const std::vector<KeyValue>& live,
-                        const std::vector<KeyValue>& claims, const std::vector<KeyValue>& awards,
+                        const std::vector<KeyValue>& owned_machines, const std::vector<KeyValue>& awards,
                         const std::vector<KeyValue>& done) {
   // An earlier holder may have started anything on its machines.
-  fleet_.claims().load(shard, claims);
+  fleet_.ownership().load(shard, owned_machines);
   for (const KeyValue& entry : live) {
     auto record = records::live_job(entry.value);
     if (!record) continue;
     jobs_.learn(*record);
     if (record->shard == shard.name && state_.may_act_on(shard, record->spec.id, asked))
-      Jobs::load(shard, *record).unsettled = true;
+      Jobs::load(shard, *record).unreconciled = true;
   }
-  shard.unsettled_jobs = true;
+  shard.has_unreconciled_jobs = true;
   net_.load_awards(shard, awards, asked);
   net_.load_progress(shard, done, true);
   fleet_.restore_unreachable_machines(shard);
-  shard.awards_known(shard.acquired_at, context_.settings.lease_term());
+  shard.awards_read(shard.acquired_at, context_.settings.lease_term());
   make_room_record(shard);
 }
 
--- a/src/core/controller.h
+++ b/src/core/controller.h
@@ -25,12 +25,16 @@
   }
   void on_poll(std::uint64_t request, const std::string& id) { jobs_.on_poll(request, id); }
   void on_cancel(std::uint64_t request, const std::string& id) { jobs_.on_cancel(request, id); }
-  void on_report(std::uint64_t request, const Report& report) { fleet_.on_report(request, report); }
+  void on_heartbeat(std::uint64_t request, const Heartbeat& heartbeat) {
+    fleet_.on_heartbeat(request, heartbeat);
+  }
   void on_store_response(std::uint64_t call, const StoreResponse& answer) {
     state_.store.on_answer(call, answer);
   }
   void on_cloud(std::uint64_t call, const CloudAnswer& answer) { renter_.on_answer(call, answer); }
-  void on_orders(std::uint64_t call, const OrdersAnswer& answer) { fleet_.on_orders_answer(call, answer); }
+  void on_command_response(std::uint64_t call, const CommandResponse& answer) {
+    fleet_.on_command_response(call, answer);
+  }
   void on_admin(std::uint64_t request, const AdminRequest& asked);
   void on_peer(const std::string& host, const PeerMessage& message);
 
@@ -50,7 +54,7 @@
   void load(Shard& shard);
   /// `asked`: when the records were asked for.
   void loaded(Shard& shard, Micros asked, const std::vector<KeyValue>& live,
-              const std::vector<KeyValue>& claims, const std::vector<KeyValue>& awards,
+              const std::vector<KeyValue>& owned_machines, const std::vector<KeyValue>& awards,
               const std::vector<KeyValue>& done);
   void make_room_record(Shard& shard);
   void read_policy();
--- a/src/core/fleet.h
+++ b/src/core/fleet.h
@@ -15,35 +15,35 @@
   Fleet(ControllerState& state, Hooks hooks);
 
   void tick();
-  void on_report(std::uint64_t request, const Report& report);
-  void on_orders_answer(std::uint64_t call, const OrdersAnswer& answer);
+  void on_heartbeat(std::uint64_t request, const Heartbeat& heartbeat);
+  void on_command_response(std::uint64_t call, const CommandResponse& answer);
   void on_shard_ready(Shard& shard);
   /// What the holder of a part knows of its machines that are silent, for the next one.
   std::vector<UnreachableMachine> unreachable_machines(const Shard& shard) const;
   /// The last holder's word on machines that we may never hear.
   void restore_unreachable_machines(Shard& shard);
-  void on_shard_lost(const std::string& shard) { claims_.on_shard_lost(shard); }
+  void on_shard_lost(const std::string& shard) { ownership_.on_shard_lost(shard); }
 
   /// Whether a worker can be reached: no order has token and session 0, and it says what it holds.
   void probe(const std::string& address, std::function<void(bool)> done);
   /// Sends the orders that should not wait for the next report.
-  void push_orders(Shard& shard);
+  void push_commands(Shard& shard);
   /// The machine and everything on it are gone.
   void gone(Shard& shard, const std::string& machine);
 
   /// Settled: nothing unknown can be on it.
-  Machine& add(Shard& shard, const Machine& machine, bool settled);
+  Machine& add(Shard& shard, const Machine& machine, bool reconciled);
   bool usable(const Machine& m) const;
   bool booting(const Machine& m) const;
-  Claims& claims() { return claims_; }
+  MachineOwnership& ownership() { return ownership_; }
 
  private:
   struct Deferred {
     std::uint64_t request;
-    Report report;
+    Heartbeat heartbeat;
     Micros since;
   };
-  struct Direct {
+  struct PushInFlight {
     std::string shard;
     std::uint64_t leadership_term;
     std::string machine;
@@ -52,31 +52,31 @@
     std::vector<AttemptId> starts;
   };
 
-  void on_unclaimed(std::uint64_t request, const Report& report, Micros since);
+  void on_unclaimed(std::uint64_t request, const Heartbeat& heartbeat, Micros since);
   /// Answers a report, or keeps it for later; `since`: when it came.
-  void route_report(std::uint64_t request, const Report& report, Micros since);
-  void defer(std::uint64_t request, const Report& report, Micros since);
-  void on_own_report(std::uint64_t request, Shard& shard, const Report& report);
-  void apply(Shard& shard, Machine& m, const Report& report, bool is_report);
-  bool believable(const Shard& shard, const Report& report) const;
+  void route_heartbeat(std::uint64_t request, const Heartbeat& heartbeat, Micros since);
+  void defer(std::uint64_t request, const Heartbeat& heartbeat, Micros since);
+  void on_own_heartbeat(std::uint64_t request, Shard& shard, const Heartbeat& heartbeat);
+  void apply(Shard& shard, Machine& m, const Heartbeat& heartbeat, bool is_heartbeat);
+  bool believable(const Shard& shard, const Heartbeat& heartbeat) const;
   bool was_sent_after(Micros ours) const;
-  void note_lost_orders(Shard& shard, Machine& m);
-  static void clear_unreachable_signs(Machine& m);
-  void add_unreachable_sign(Shard& shard, Machine& m, int weight);
-  void note(Shard& shard, Machine& m, const ReportedTask& seen, std::uint64_t account);
+  void note_lost_pushes(Shard& shard, Machine& m);
+  static void clear_missed_acknowledgements(Machine& m);
+  void add_missed_acknowledgement(Shard& shard, Machine& m, int weight);
+  void note(Shard& shard, Machine& m, const TaskStatus& seen, std::uint64_t sequence_number);
   void ended(Shard& shard, Machine& m, const AttemptId& id, Placement& p, ExitCause cause);
   void failed(Shard& shard, Machine& m, Job& job);
   void release(Shard& shard, Machine& m, const AttemptId& id);
   void release_all(Shard& shard, Machine& m);
-  std::vector<Order> orders(Shard& shard, Machine& m, std::uint64_t in_report);
+  std::vector<Command> commands(Shard& shard, Machine& m, std::uint64_t in_heartbeat);
   bool may_send_start(Shard& shard, Job* job, const AttemptId& id);
-  void log_orders(const Shard& shard, const Machine& m, const std::vector<Order>& sent,
-                  const std::string& how) const;
-  std::vector<Order> stops_for_unknown_tasks(const Shard& shard, const Report& report) const;
+  void log_commands(const Shard& shard, const Machine& m, const std::vector<Command>& sent,
+                    const std::string& how) const;
+  std::vector<Command> stops_for_unknown_tasks(const Shard& shard, const Heartbeat& heartbeat) const;
   Micros time_to_save(const Shard& shard, const Job& job) const;
-  void begin_session(Machine& m, std::uint64_t session);
+  void begin_incarnation(Machine& m, std::uint64_t incarnation);
   bool urgent(const Machine& m) const;
-  std::size_t most_direct_calls() const;
+  std::size_t push_limit() const;
   void watch(Shard& shard);
   void watch_zones(Shard& shard, Micros late);
   void trim_images(Machine& m) const;
@@ -84,23 +84,23 @@
   void answer(std::uint64_t request, int status, std::string redirect = {});
 
   /// That many signs in a row show that nothing reaches a machine. One answer may always come too late.
-  static constexpr int kUnreachableSigns = 3;
-  static constexpr int kWeakSign = 1;                      ///< one message seems not to have reached it
-  static constexpr int kStrongSign = 2;                    ///< several can't have
+  static constexpr int kMissedAcknowledgementLimit = 3;
+  static constexpr int kWeakEvidence = 1;                  ///< one message seems not to have reached it
+  static constexpr int kStrongEvidence = 2;                ///< several can't have
   static constexpr std::size_t kHandoverTaskLimit = 1500;  ///< tasks in a word to the next holder
   static constexpr std::size_t kFailedOn = 8;
   static constexpr std::size_t kRememberedDeleted = 4096;
-  static constexpr std::size_t kOrders = 200;  ///< in one message: far below a line of 64 KiB
+  static constexpr std::size_t kCommandsPerMessage = 200;  ///< in one message: far below a line of 64 KiB
 
   ControllerState& state_;
   Hooks hooks_;
-  Claims claims_;
+  MachineOwnership ownership_;
   std::vector<Deferred> deferred_;  ///< reports that wait for a claim or for the part
   std::set<std::string> deleted_;   ///< lately: a late copy of their reports brings none back
   std::deque<std::string> deleted_order_;
-  std::map<std::uint64_t, Direct> direct_;
+  std::map<std::uint64_t, PushInFlight> pushes_in_flight_;
   std::map<std::uint64_t, std::function<void(bool)>> probes_;
-  std::uint64_t next_direct_ = 1;
+  std::uint64_t next_push_ = 1;
 };
 
 }  // namespace bendtide
--- a/src/core/fleet_failures.cpp
+++ b/src/core/fleet_failures.cpp
@@ -7,7 +7,7 @@
 
 /// A zone may be cut off for that many of its workers' leases before its machines are given up.
 constexpr int kCutLeases = 8;
-constexpr int kLostOrders = 2;  ///< that many in a row, with a report after each, are a sign
+constexpr int kLostPushLimit = 2;  ///< that many in a row, with a report after each, are a sign
 
 }  // namespace
 
@@ -18,29 +18,30 @@
 
 /// A cut may swallow one order and hold the reports that it is followed by. But the machine is sent another
 /// as soon as a report arrives: if that is lost too, and the machine reports again, nothing reaches it.
-void Fleet::note_lost_orders(Shard& shard, Machine& m) {
-  if (!std::exchange(m.order_lost, false)) return;
-  shard.push_to(m);
-  if (++m.lost_orders >= kLostOrders) add_unreachable_sign(shard, m, kStrongSign);
+void Fleet::note_lost_pushes(Shard& shard, Machine& m) {
+  if (!std::exchange(m.push_lost, false)) return;
+  shard.request_push(m);
+  if (++m.lost_pushes >= kLostPushLimit) add_missed_acknowledgement(shard, m, kStrongEvidence);
 }
 
-void Fleet::clear_unreachable_signs(Machine& m) {
-  m.unreachable_signs = m.lost_orders = 0;
-  m.order_lost = false;
+void Fleet::clear_missed_acknowledgements(Machine& m) {
+  m.missed_acknowledgements = m.lost_pushes = 0;
+  m.push_lost = false;
 }
 
 /// A machine with signs against it is asked directly: if it answers, they are void.
-void Fleet::add_unreachable_sign(Shard& shard, Machine& m, int weight) {
-  m.unreachable_signs += weight;
-  shard.push_to(m);
+void Fleet::add_missed_acknowledgement(Shard& shard, Machine& m, int weight) {
+  m.missed_acknowledgements += weight;
+  shard.request_push(m);
 }
 
 bool Fleet::usable(const Machine& m) const {
   const Micros now = state_.now();
-  return m.heard && m.settled && m.in_use && !m.lost && !m.condemned && !m.quarantined && !m.notice_until &&
-         m.unreachable_signs < kUnreachableSigns - 1 && now >= m.avoid_until &&
+  return m.status_received && m.reconciled && m.in_use && !m.lease_expired && !m.decommissioned &&
+         !m.quarantined && !m.preemption_notice_until &&
+         m.missed_acknowledgements < kMissedAcknowledgementLimit - 1 && now >= m.cordoned_until &&
          // Orders may reach one that can't report, but do not renew its lease.
-         now - m.last_contact() <= state_.context.settings.report_every * 2 + millis(500);
+         now - m.last_contact() <= state_.context.settings.heartbeat_interval * 2 + millis(500);
 }
 
 void Fleet::watch(Shard& shard) {
@@ -48,31 +49,31 @@
   const Settings& s = state_.context.settings;
   const Micros lease = surely_over(s.worker_lease);
   const Micros silence =
-      seconds(state_.context.policy.silence_reports * in_seconds(s.report_every) * 1.25) + seconds(1);
+      seconds(state_.context.policy.silence_reports * in_seconds(s.heartbeat_interval) * 1.25) + seconds(1);
   for (auto& [name, m] : shard.machines) {
-    if ((m.heard || !m.tasks.empty()) && !m.lost && now > m.last_answered + lease) {
+    if ((m.status_received || !m.tasks.empty()) && !m.lease_expired && now > m.last_reply_at + lease) {
       // Nobody renewed its lease: the worker has killed and forgotten everything.
-      m.lost = true;
-      shard.settle(m, true);
+      m.lease_expired = true;
+      shard.set_reconciled(m, true);
       // Its next session has begun. A held report of the old one would bring back tasks that are gone.
-      ++m.session;
-      m.sequence = m.reported_sequence = m.answered_in = 0;
+      ++m.incarnation;
+      m.sequence_number = m.heartbeat_sequence_number = m.last_reply_sequence_number = 0;
       if (!m.tasks.empty()) state_.context.info("machine " + name + " is silent for its whole lease");
       release_all(shard, m);
     }
-    if (!m.heard && !m.settled && now > m.last_answered + lease) shard.settle(m, true);
-    if (m.quarantined && m.idle() && now - m.idle_since > seconds(3)) m.condemned = true;
+    if (!m.status_received && !m.reconciled && now > m.last_reply_at + lease) shard.set_reconciled(m, true);
+    if (m.quarantined && m.idle() && now - m.idle_since > seconds(3)) m.decommissioned = true;
     trim_images(m);
   }
   // A cut is to be noticed before the first machine has been silent for long enough to be deleted.
-  watch_zones(shard, s.report_pause());
+  watch_zones(shard, s.longest_heartbeat_pause());
   for (auto& [name, m] : shard.machines) {
     // Deaf: its reports arrive, but neither answers nor commands reach it.
-    const bool deaf = m.unreachable_signs >= kUnreachableSigns;
-    const bool silent = (m.heard || !m.tasks.empty()) && now - m.last_contact() > silence &&
+    const bool deaf = m.missed_acknowledgements >= kMissedAcknowledgementLimit;
+    const bool silent = (m.status_received || !m.tasks.empty()) && now - m.last_contact() > silence &&
                         !shard.cut_zones.contains(m.zone);
-    if (m.condemned || !(deaf || silent)) continue;
-    m.condemned = true;
+    if (m.decommissioned || !(deaf || silent)) continue;
+    m.decommissioned = true;
     state_.context.info("machine " + name + (deaf ? " reports but takes up nothing" : " is silent") +
                         ": it is to be deleted");
   }
@@ -87,10 +88,10 @@
   };
   std::map<std::string, Tally> zones;
   for (const auto& [name, m] : shard.machines) {
-    if (m.condemned || (!m.heard && booting(m))) continue;
+    if (m.decommissioned || (!m.status_received && booting(m))) continue;
     Tally& tally = zones[m.zone];
     ++tally.up;
-    if (now - m.last_reported > late) ++tally.silent;
+    if (now - m.last_heartbeat_at > late) ++tally.silent;
   }
   // With no machine left there, nothing would ever show that the zone can be reached again.
   std::erase_if(shard.cut_zones, [&](const auto& cut) { return !zones.contains(cut.first); });
@@ -115,7 +116,7 @@
 /// Whether it may still be on its way up.
 bool Fleet::booting(const Machine& m) const {
   const MachineType* type = state_.machine_type(m.type);
-  return type == nullptr || state_.context.wall - m.rented <= type->boot * 5 / 2 + seconds(5);
+  return type == nullptr || state_.context.wall - m.rented_at <= type->boot * 5 / 2 + seconds(5);
 }
 
 }  // namespace bendtide
--- a/src/core/fleet_handover.cpp
+++ b/src/core/fleet_handover.cpp
@@ -8,11 +8,12 @@
   std::size_t tasks = 0;
   const Micros now = state_.now();
   for (const auto& [name, m] : shard.machines) {
-    if (!m.settled || !m.in_use || now - m.last_heard <= state_.context.settings.report_every * 5 / 4)
+    if (!m.reconciled || !m.in_use ||
+        now - m.last_status_at <= state_.context.settings.heartbeat_interval * 5 / 4)
       continue;
     if ((tasks += 1 + m.tasks.size()) > kHandoverTaskLimit) break;
     UnreachableMachine& s =
-        out.emplace_back(UnreachableMachine{name, now - m.last_heard, now - m.last_answered, {}});
+        out.emplace_back(UnreachableMachine{name, now - m.last_status_at, now - m.last_reply_at, {}});
     for (const auto& [id, p] : m.tasks)
       if (p.takes_room())
         s.tasks.push_back({id.task,
@@ -31,10 +32,10 @@
     auto it = shard.machines.find(s.machine);
     if (it == shard.machines.end()) continue;
     Machine& m = it->second;
-    for (const ReportedTask& t : s.tasks) note(shard, m, t, 0);
-    m.last_heard = m.last_reported = shard.acquired_at - s.heard_ago;
-    m.last_answered = shard.acquired_at - s.answered_ago;
-    shard.settle(m, true);
+    for (const TaskStatus& t : s.tasks) note(shard, m, t, 0);
+    m.last_status_at = m.last_heartbeat_at = shard.acquired_at - s.status_ago;
+    m.last_reply_at = shard.acquired_at - s.reply_ago;
+    shard.set_reconciled(m, true);
   }
 }
 
--- a/src/core/fleet_reports.cpp
+++ b/src/core/fleet_reports.cpp
@@ -21,14 +21,14 @@
 
 }  // namespace
 
-void Fleet::on_own_report(std::uint64_t request, Shard& shard, const Report& report) {
-  if (report.fencing_token > shard.fencing_token) {
+void Fleet::on_own_heartbeat(std::uint64_t request, Shard& shard, const Heartbeat& heartbeat) {
+  if (heartbeat.fencing_token > shard.fencing_token) {
     // Somebody was given a higher token: either we are superseded, or the machine came from elsewhere.
     hooks_.invalidate_leases();
     shard.advance_token_soon = true;
     return answer(request, 503);
   }
-  auto it = shard.machines.find(report.machine);
+  auto it = shard.machines.find(heartbeat.machine);
   if (it == shard.machines.end()) {
     // The machine was deleted, yet it reports: a message from before its end.
     return answer(request, 503);
@@ -36,129 +36,134 @@
   Machine& m = it->second;
   // The worker has one report in flight: what is not newer than one we answered is a copy, and nobody waits
   // for the answer. It renews nothing.
-  if (report.session < m.session || (report.session == m.session && report.sequence <= m.reported_sequence))
+  if (heartbeat.incarnation < m.incarnation ||
+      (heartbeat.incarnation == m.incarnation && heartbeat.sequence_number <= m.heartbeat_sequence_number))
     return answer(request, 503);
-  m.last_reported = state_.now();
-  note_lost_orders(shard, m);
-  if (!believable(shard, report) && m.told_at && was_sent_after(*m.told_at)) {
-    add_unreachable_sign(shard, m, kStrongSign);
-    m.told_at = m.last_reported;
+  m.last_heartbeat_at = state_.now();
+  note_lost_pushes(shard, m);
+  if (!believable(shard, heartbeat) && m.token_sent_at && was_sent_after(*m.token_sent_at)) {
+    add_missed_acknowledgement(shard, m, kStrongEvidence);
+    m.token_sent_at = m.last_heartbeat_at;
   }
   // Nothing reaches it, so an answer would renew nothing; but the proof by its lease would wait for one that
   // did.
-  if (m.unreachable_signs >= kUnreachableSigns) return answer(request, 503);
-  m.told_at = m.told_at.value_or(state_.now());
-  const Micros answered_before = std::exchange(m.last_answered, state_.now());
-  ReportReply reply{200, shard.fencing_token, {}, {}};
-  if (believable(shard, report) &&
-      std::pair(report.session, report.sequence) > std::pair(m.session, m.sequence)) {
-    const bool lease_ran_out = report.session > m.session && m.heard && !m.lost;
+  if (m.missed_acknowledgements >= kMissedAcknowledgementLimit) return answer(request, 503);
+  m.token_sent_at = m.token_sent_at.value_or(state_.now());
+  const Micros answered_before = std::exchange(m.last_reply_at, state_.now());
+  HeartbeatReply reply{200, shard.fencing_token, {}, {}};
+  if (believable(shard, heartbeat) && std::pair(heartbeat.incarnation, heartbeat.sequence_number) >
+                                          std::pair(m.incarnation, m.sequence_number)) {
+    const bool lease_ran_out = heartbeat.incarnation > m.incarnation && m.status_received && !m.lease_expired;
     const Micros since_answer = state_.now() - answered_before;
     if (lease_ran_out && was_sent_after(answered_before) &&
         since_answer < state_.context.settings.worker_lease * 3 / 4)
-      add_unreachable_sign(shard, m, kStrongSign);
-    apply(shard, m, report, true);
-    m.reported_sequence = report.sequence;
+      add_missed_acknowledgement(shard, m, kStrongEvidence);
+    apply(shard, m, heartbeat, true);
+    m.heartbeat_sequence_number = heartbeat.sequence_number;
     hooks_.fill(shard, m);
-    reply.orders = orders(shard, m, report.sequence);
-    m.answered_in = report.sequence;
+    reply.commands = commands(shard, m, heartbeat.sequence_number);
+    m.last_reply_sequence_number = heartbeat.sequence_number;
     m.last_reply_token = shard.fencing_token;
-    m.orders_sent_at = state_.now();
+    m.commands_sent_at = state_.now();
   } else {
-    reply.orders = stops_for_unknown_tasks(shard, report);
-    if (!m.settled) {
-      m.address = report.address;
-      shard.push_to(m);
+    reply.commands = stops_for_unknown_tasks(shard, heartbeat);
+    if (!m.reconciled) {
+      m.address = heartbeat.address;
+      shard.request_push(m);
     }
   }
-  log_orders(shard, m, reply.orders, "with the answer to report " + std::to_string(report.sequence));
-  state_.context.act(AnswerWorker{request, std::move(reply)});
+  log_commands(shard, m, reply.commands,
+               "with the answer to report " + std::to_string(heartbeat.sequence_number));
+  state_.context.act(AnswerHeartbeat{request, std::move(reply)});
 }
 
 /// Stops for the tasks of jobs that this part does not have: they are over. True of any account, however old,
 /// and said with every answer, as each renews the lease: holders that follow one another within seconds would
 /// else keep the tasks of a cancelled job alive.
-std::vector<Order> Fleet::stops_for_unknown_tasks(const Shard& shard, const Report& report) const {
-  std::vector<Order> out;
-  for (const ReportedTask& t : report.tasks)
-    if (t.phase != TaskPhase::exited && !shard.jobs.contains(t.task.job) && out.size() < kOrders / 2)
-      out.push_back({Order::Kind::stop, t.task, t.attempt, {}});
+std::vector<Command> Fleet::stops_for_unknown_tasks(const Shard& shard, const Heartbeat& heartbeat) const {
+  std::vector<Command> out;
+  for (const TaskStatus& t : heartbeat.tasks)
+    if (t.phase != TaskPhase::exited && !shard.jobs.contains(t.task.job) &&
+        out.size() < kCommandsPerMessage / 2)
+      out.push_back({Command::Kind::stop, t.task, t.attempt, {}});
   return out;
 }
 
 /// Its lease runs from the beginning of the session, which we learn of by a refused or executed order as
 /// well: a worker that reaches no controller still gets orders. Without this its tasks would be given up, and
 /// started elsewhere, while they run on for the rest of the new lease.
-void Fleet::begin_session(Machine& m, std::uint64_t session) {
-  m.session = session;
-  m.sequence = m.reported_sequence = m.answered_in = 0;
-  m.last_answered = state_.now();
+void Fleet::begin_incarnation(Machine& m, std::uint64_t incarnation) {
+  m.incarnation = incarnation;
+  m.sequence_number = m.heartbeat_sequence_number = m.last_reply_sequence_number = 0;
+  m.last_reply_at = state_.now();
 }
 
 /// An account that shows no token of this holding may be a late copy from before it, by any time: it may be
 /// answered, so that the worker learns the token, but nothing it says is believed.
-bool Fleet::believable(const Shard& shard, const Report& report) const {
-  return report.fencing_token >= shard.first_fencing_token;
+bool Fleet::believable(const Shard& shard, const Heartbeat& heartbeat) const {
+  return heartbeat.fencing_token >= shard.first_fencing_token;
 }
 
-void Fleet::apply(Shard& shard, Machine& m, const Report& report, bool is_report) {
+void Fleet::apply(Shard& shard, Machine& m, const Heartbeat& heartbeat, bool is_heartbeat) {
   const Micros now = state_.now();
-  if (report.session > m.session) {
+  if (heartbeat.incarnation > m.incarnation) {
     // A new session begins with an empty machine.
     release_all(shard, m);
-    begin_session(m, report.session);
+    begin_incarnation(m, heartbeat.incarnation);
   }
   // Lost, and yet there: it began the session that we expected at some moment unknown.
-  if (m.lost) m.last_answered = now;
-  m.sequence = report.sequence;
-  m.address = report.address;
-  if (!m.heard || m.lost) {
+  if (m.lease_expired) m.last_reply_at = now;
+  m.sequence_number = heartbeat.sequence_number;
+  m.address = heartbeat.address;
+  if (!m.status_received || m.lease_expired) {
     shard.changed();
     m.idle_since = now;  // it could do nothing before
   }
-  if (!m.heard && !m.in_use) claims_.came_up(shard, m);
-  m.heard = true;
-  m.lost = false;
-  m.last_heard = now;
-  if (report.notice) {
-    if (!m.notice_until) state_.context.info("machine " + m.name + " will be taken by the cloud");
-    m.notice_until = now + *report.notice;
+  if (!m.status_received && !m.in_use) ownership_.on_machine_up(shard, m);
+  m.status_received = true;
+  m.lease_expired = false;
+  m.last_status_at = now;
+  if (heartbeat.preemption_notice) {
+    if (!m.preemption_notice_until) state_.context.info("machine " + m.name + " will be taken by the cloud");
+    m.preemption_notice_until = now + *heartbeat.preemption_notice;
   }
-  for (const ReportedTask& t : report.tasks) note(shard, m, t, report.sequence);
+  for (const TaskStatus& t : heartbeat.tasks) note(shard, m, t, heartbeat.sequence_number);
 
-  if (report.fencing_token > m.acknowledged_token) clear_unreachable_signs(m);  // something reaches it
-  bool asked = m.answered_in != 0 && m.last_reply_token > m.acknowledged_token;
-  bool heeded = report.fencing_token >= m.last_reply_token;
-  m.acknowledged_token = report.fencing_token;
+  if (heartbeat.fencing_token > m.acknowledged_token)
+    clear_missed_acknowledgements(m);  // something reaches it
+  bool asked = m.last_reply_sequence_number != 0 && m.last_reply_token > m.acknowledged_token;
+  bool heeded = heartbeat.fencing_token >= m.last_reply_token;
+  m.acknowledged_token = heartbeat.fencing_token;
   std::vector<AttemptId> off;
   for (auto& [id, p] : m.tasks) {
     // From here on, a start sent under an older token is refused.
-    if (p.pinned_by != 0 && report.fencing_token > p.pinned_by) p.pinned_by = 0;
-    const bool listed = p.listed_in == report.sequence;
-    if (m.answered_in != 0 && p.offered_in == m.answered_in && (listed || p.seen == Placement::Seen::no)) {
+    if (p.late_start_token != 0 && heartbeat.fencing_token > p.late_start_token) p.late_start_token = 0;
+    const bool listed = p.last_listed_in == heartbeat.sequence_number;
+    if (m.last_reply_sequence_number != 0 && p.start_sent_in == m.last_reply_sequence_number &&
+        (listed || p.seen == Placement::Seen::no)) {
       asked = true;
       heeded &= listed;
     }
-    if (listed || !is_report || p.direct_in_flight > 0 || p.pinned_by != 0) continue;
+    if (listed || !is_heartbeat || p.pushed_starts_in_flight > 0 || p.late_start_token != 0) continue;
     // One that was there and is not listed is gone. A start that never showed is, too, if it is not wanted
     // any more: the worker was done with our last answer before it sent this report.
     const bool was_there = p.seen != Placement::Seen::no;
-    const bool never_took_effect = !p.wanted && p.offered_in < report.sequence;
+    const bool never_took_effect = !p.wanted && p.start_sent_in < heartbeat.sequence_number;
     if (was_there || never_took_effect) off.push_back(id);
   }
   for (const AttemptId& id : off) release(shard, m, id);
-  if (is_report && asked) {
+  if (is_heartbeat && asked) {
     if (heeded)
-      clear_unreachable_signs(m);
-    else if (was_sent_after(m.orders_sent_at))
-      add_unreachable_sign(shard, m, kWeakSign);
-    m.answered_in = 0;
+      clear_missed_acknowledgements(m);
+    else if (was_sent_after(m.commands_sent_at))
+      add_missed_acknowledgement(shard, m, kWeakEvidence);
+    m.last_reply_sequence_number = 0;
   }
-  shard.settle(m, true);
+  shard.set_reconciled(m, true);
   if (!m.idle()) m.idle_since = now;
 }
 
-void Fleet::note(Shard& shard, Machine& m, const ReportedTask& t, std::uint64_t account) {
+void Fleet::note(Shard& shard, Machine& m, const TaskStatus& t, std::uint64_t sequence_number) {
   const AttemptId id{t.task, t.attempt};
   auto job_it = shard.jobs.find(t.task.job);
   Job* job = job_it == shard.jobs.end() ? nullptr : &job_it->second;
@@ -179,7 +184,7 @@
     it = m.tasks.find(id);
   }
   Placement& p = it->second;
-  p.listed_in = account;
+  p.last_listed_in = sequence_number;
   if (!p.of_known_job && job != nullptr)
     shard.change(m, id, p, [&](Placement& q) { shard.identify(q, m, job); });
   const Placement::Seen before = p.seen, seen = seen_as(t.phase);
@@ -197,11 +202,11 @@
   p.cause = cause;
   const bool wanted = std::exchange(p.wanted, false);  // an ended task is in no sum
   shard.changed();
-  if (p.pushed_token != 0) {
+  if (p.pushed_fencing_token != 0) {
     // A repeat of the direct start would run the task here again, though it may be elsewhere or over. As long
     // as the worker holds the attempt, ended, the repeat has no effect: keep it until the token is higher.
     // That is urgent if the task is to run again.
-    p.pinned_by = std::max(p.pinned_by, p.pushed_token);
+    p.late_start_token = std::max(p.late_start_token, p.pushed_fencing_token);
     (cause == ExitCause::done ? shard.advance_token_eventually : shard.advance_token_soon) = true;
   }
   auto it = shard.jobs.find(id.task.job);
@@ -227,7 +232,7 @@
       break;
     case ExitCause::no_room:
     case ExitCause::busy:
-      m.avoid_until = now + seconds(1);
+      m.cordoned_until = now + seconds(1);
       break;
     case ExitCause::unknown:
       job.retry_at = now + seconds(1);
--- a/src/core/holdings.cpp
+++ b/src/core/holdings.cpp
@@ -64,7 +64,7 @@
 
 /// All its machines have been silent for longer than any pause between reports.
 bool ShardLeases::hears_no_worker(const Shard& shard) const {
-  const Micros silence = state_.context.settings.report_pause();
+  const Micros silence = state_.context.settings.longest_heartbeat_pause();
   const Micros since = state_.now() - silence;
   if (shard.acquired_at + silence > since) return false;
   // A part whose machines are all deaf, or never came up, would go round for ever: its holder needs time to
@@ -74,9 +74,9 @@
     return false;
   std::size_t up = 0;
   for (const auto& [name, m] : shard.machines) {
-    if (m.condemned || (!m.heard && fleet_.booting(m))) continue;
+    if (m.decommissioned || (!m.status_received && fleet_.booting(m))) continue;
     // A deaf machine's reports come too: it is not us who can't hear, and no peer would do better.
-    if (m.last_reported > since) return false;
+    if (m.last_heartbeat_at > since) return false;
     ++up;
   }
   return up > 1;
--- a/src/core/jobs_ending.cpp
+++ b/src/core/jobs_ending.cpp
@@ -161,7 +161,7 @@
         return id + "/" + std::to_string(i) + " is not wanted on " + task.machine->name +
                " any more: its job is over";
       });
-      shard.push_to(*task.machine);
+      shard.request_push(*task.machine);
     }
     if (job.present > 0 || job.finalizing || job.offered > 0) {
       shard.over.push_back(std::move(id));
--- a/src/core/overview.cpp
+++ b/src/core/overview.cpp
@@ -23,7 +23,7 @@
                     {"acting", state.lease_valid()},
                     {"held_s", in_seconds(state.now() - shard.acquired_at)},
                     {"machines", shard.machines.size()},
-                    {"all_machines_settled", shard.all_settled()},
+                    {"all_machines_settled", shard.all_reconciled()},
                     {"jobs", shard.jobs.size()},
                     {"shares", std::move(shares)}});
   }
@@ -44,12 +44,12 @@
                      {"type", m.type},
                      {"zone", m.zone},
                      {"spot", m.spot},
-                     {"up", m.heard},
-                     {"silent_s", m.heard ? in_seconds(state.now() - m.last_heard) : 0.0},
-                     {"settled", m.settled},
-                     {"lease_over", m.lost},
+                     {"up", m.status_received},
+                     {"silent_s", m.status_received ? in_seconds(state.now() - m.last_status_at) : 0.0},
+                     {"settled", m.reconciled},
+                     {"lease_over", m.lease_expired},
                      {"quarantined", m.quarantined},
-                     {"being_deleted", m.condemned},
+                     {"being_deleted", m.decommissioned},
                      {"tasks", m.tasks.size()},
                      {"free_cpus", units(m.free().cpu)}});
     }
--- a/src/core/part.cpp
+++ b/src/core/part.cpp
@@ -4,12 +4,12 @@
 
 bool Shard::sums_hold() const {
   std::map<std::string, Quota> usage;
-  Quota unknown, unsettled;
+  Quota unknown, unreconciled;
   std::map<std::string, std::uint32_t> present;
   for (const auto& [name, m] : machines) {
     Resources used, coming;
     int services = 0;
-    if (!m.settled) unsettled += quota_of(m.size);
+    if (!m.reconciled) unreconciled += quota_of(m.size);
     for (const auto& [id, p] : m.tasks) {
       if (!p.takes_room()) continue;
       used += p.each;
@@ -17,7 +17,7 @@
       if (p.of_service) ++services;
       auto job = jobs.find(id.task.job);
       if (p.of_known_job) ++present[id.task.job];
-      if (m.settled)
+      if (m.reconciled)
         (p.of_known_job && job != jobs.end() ? usage[job->second.spec.team] : unknown) += quota_of(p.each);
     }
     if (used != m.used || coming != m.coming || services != m.services) return false;
@@ -26,7 +26,7 @@
     if (job.present != present[id]) return false;
   for (const auto& [team, sum] : usage_)
     if (sum != usage[team]) return false;
-  return unknown == usage_of_unknown_ && unsettled == usage_unsettled_;
+  return unknown == usage_of_unknown_ && unreconciled == usage_unreconciled_;
 }
 
 }  // namespace bendtide
--- a/src/core/part.h
+++ b/src/core/part.h
@@ -34,11 +34,11 @@
 
 struct Job {
   JobSpec spec;
-  Micros accepted{0};       ///< wall clock
-  std::string owner;        ///< the part whose job it is, here by awards; empty: ours
-  bool unsettled = false;   ///< loaded at a take-over: its tasks may be on machines not yet seen
-  bool finalizing = false;  ///< its last write is under way
-  bool ended = false;       ///< over: nothing of it may start, and all of it has to go
+  Micros accepted{0};         ///< wall clock
+  std::string owner;          ///< the part whose job it is, here by awards; empty: ours
+  bool unreconciled = false;  ///< loaded at a take-over: its tasks may be on machines not yet seen
+  bool finalizing = false;    ///< its last write is under way
+  bool ended = false;         ///< over: nothing of it may start, and all of it has to go
   std::vector<Task> tasks;
   std::vector<std::uint32_t> waiting;  ///< exactly the tasks in state waiting
   std::uint32_t done = 0;
@@ -104,19 +104,19 @@
   Quota* usage = nullptr;  ///< the sum it counts in: of its team, or of tasks whose job is not known
   bool of_known_job = false;
   bool of_service = false;
-  Micros ends_at{Micros::max()};  ///< expected, once it runs and if it ends by itself
-  std::uint64_t listed_in = 0;    ///< the last account of the worker that lists it
+  Micros ends_at{Micros::max()};     ///< expected, once it runs and if it ends by itself
+  std::uint64_t last_listed_in = 0;  ///< the last account of the worker that lists it
   std::string image;
   double image_gb = 0;
   Micros placed_at{0};
   Micros running_since{0};
-  Micros stop_since{0};            ///< when it was first unwanted
-  std::uint64_t offered_in = 0;    ///< the last report whose answer carried its start
-  int direct_in_flight = 0;        ///< direct starts not answered yet
-  std::uint64_t pushed_token = 0;  ///< the last token under which it was started directly
+  Micros stop_requested_at{0};             ///< when it was first unwanted
+  std::uint64_t start_sent_in = 0;         ///< the last report whose answer carried its start
+  int pushed_starts_in_flight = 0;         ///< direct starts not answered yet
+  std::uint64_t pushed_fencing_token = 0;  ///< the last token under which it was started directly
   /// A direct start under this token may still be executed (late or once more), until the worker has shown
   /// a higher one. 0: none.
-  std::uint64_t pinned_by = 0;
+  std::uint64_t late_start_token = 0;
 
   bool takes_room() const { return seen != Seen::ended; }
 };
@@ -128,41 +128,42 @@
   std::string zone;
   bool spot = false;
   Resources size;
-  Resources used;    ///< by tasks that take room
-  Resources coming;  ///< the part of it whose tasks are already told to stop
-  int services = 0;  ///< tasks among them that run until they are cancelled
-  Micros rented{0};  ///< wall clock
-  std::uint32_t claim_block = 0;
+  Resources used;       ///< by tasks that take room
+  Resources coming;     ///< the part of it whose tasks are already told to stop
+  int services = 0;     ///< tasks among them that run until they are cancelled
+  Micros rented_at{0};  ///< wall clock
+  std::uint32_t ownership_block = 0;
   bool in_use = false;  ///< its claim names its address: only then may anything be started on it
 
-  std::uint64_t session = 0;
-  std::uint64_t sequence = 0;           ///< of the newest account
-  std::uint64_t reported_sequence = 0;  ///< of the newest report in this session: a repeat of it is a copy
-  bool heard = false;                   ///< an account under a token of this holding has come
-  bool settled = false;                 ///< its tasks are all known: it was heard, or its lease ran out
-  Micros last_heard{0};                 ///< steady clock
-  Micros last_reported{0};              ///< when any report of it came, believed or not
+  std::uint64_t incarnation = 0;
+  std::uint64_t sequence_number = 0;  ///< of the newest account
+  std::uint64_t heartbeat_sequence_number =
+      0;                         ///< of the newest report in this session: a repeat of it is a copy
+  bool status_received = false;  ///< an account under a token of this holding has come
+  bool reconciled = false;       ///< its tasks are all known: it was heard, or its lease ran out
+  Micros last_status_at{0};      ///< steady clock
+  Micros last_heartbeat_at{0};   ///< when any report of it came, believed or not
   /// When it was sent a token of this holding that it has not shown since. Not set by what was surely lost.
-  std::optional<Micros> told_at;
-  Micros last_answered{0};               ///< when we last received a report that we answered with 200
-  bool lost = false;                     ///< its lease is surely over
-  std::uint64_t acknowledged_token = 0;  ///< in its newest account
-  std::uint64_t answered_in = 0;         ///< the last report that we answered with orders
-  std::uint64_t last_reply_token = 0;    ///< the token in that answer
-  Micros orders_sent_at{0};              ///< when that answer was sent
-  bool order_lost = false;               ///< a direct order got no answer since the last report
-  int lost_orders = 0;                   ///< in a row, each followed by a report
-  int unreachable_signs = 0;             ///< signs, in a row, that answers and commands don't reach it
-  std::optional<Micros> notice_until;
-  bool condemned = false;  ///< to be deleted; nothing is placed on it any more
+  std::optional<Micros> token_sent_at;
+  Micros last_reply_at{0};                       ///< when we last received a report that we answered with 200
+  bool lease_expired = false;                    ///< its lease is surely over
+  std::uint64_t acknowledged_token = 0;          ///< in its newest account
+  std::uint64_t last_reply_sequence_number = 0;  ///< the last report that we answered with orders
+  std::uint64_t last_reply_token = 0;            ///< the token in that answer
+  Micros commands_sent_at{0};                    ///< when that answer was sent
+  bool push_lost = false;                        ///< a direct order got no answer since the last report
+  int lost_pushes = 0;                           ///< in a row, each followed by a report
+  int missed_acknowledgements = 0;  ///< signs, in a row, that answers and commands don't reach it
+  std::optional<Micros> preemption_notice_until;
+  bool decommissioned = false;  ///< to be deleted; nothing is placed on it any more
   bool deleting = false;
   Micros idle_since{0};
   Micros needed_at{0};                ///< when it last held anything that is not opportunistic
   std::set<std::string> failed_jobs;  ///< whose tasks failed on it since its last success
   bool quarantined = false;
-  Micros avoid_until{0};
-  bool direct_call = false;  ///< direct orders are under way
-  bool push_due = false;     ///< in the part's list of machines to be told something at once
+  Micros cordoned_until{0};
+  bool push_in_flight = false;  ///< direct orders are under way
+  bool push_pending = false;    ///< in the part's list of machines to be told something at once
   std::map<AttemptId, Placement> tasks;
   struct Image {
     Micros used{0};
@@ -172,7 +173,7 @@
 
   Resources free() const { return size - used; }
   /// The older of its last account that was believed (it may answer a command) and its last report.
-  Micros last_contact() const { return std::min(last_heard, last_reported); }
+  Micros last_contact() const { return std::min(last_status_at, last_heartbeat_at); }
   bool idle() const { return tasks.empty(); }
   /// Room of tasks that are going, or are expected to end by `when`.
   Resources coming_by(Micros when) const {
@@ -183,14 +184,14 @@
   }
 };
 
-inline Machine machine_of(const records::ClaimedMachine& c) {
+inline Machine machine_from(const records::OwnedMachine& c) {
   Machine m;
   m.name = c.name;
   m.type = c.type;
   m.zone = c.zone;
   m.spot = c.spot;
   m.address = c.address;
-  m.rented = c.rented;
+  m.rented_at = c.rented_at;
   m.in_use = !c.address.empty();
   return m;
 }
@@ -214,7 +215,7 @@
 };
 
 /// One record of machines that belong to the part.
-struct ClaimBlock {
+struct OwnershipBlock {
   std::uint64_t revision = 0;
   bool dirty = false;            ///< machines of it are gone
   bool urgent = false;           ///< machines of it came up, and are to be used
@@ -242,8 +243,8 @@
   bool room_busy = false;   ///< a write or read of our room record is under way
   bool room_stale = false;  ///< somebody else wrote our room record
   bool reading_awards = false;
-  Micros awards_known_at{0};    ///< the awards to us are known as of then
-  Micros awards_good_until{0};  ///< and are acted on until then: they may be taken back unseen
+  Micros awards_read_at{0};      ///< the awards to us are known as of then
+  Micros awards_valid_until{0};  ///< and are acted on until then: they may be taken back unseen
   Micros next_awards{0};
   bool reading_progress = false;
   Micros next_progress{0};  ///< when to read what others did of our jobs
@@ -261,17 +262,17 @@
   Micros next_watch{0};
   std::map<std::string, Micros> cut_zones;  ///< whose machines can't be reached, and since when
   Micros cut_over{0};                       ///< when one of them was last reached again
-  bool unsettled_jobs = false;              ///< some were loaded, and not all machines are settled yet
+  bool has_unreconciled_jobs = false;       ///< some were loaded, and not all machines are settled yet
   std::vector<std::string> push;            ///< machines to be told something at once
   std::vector<std::string> over;            ///< jobs that are ended, until nothing of them is left
   std::map<std::uint32_t, DoneSlot> done_slots;
-  std::map<std::uint32_t, ClaimBlock> claim_blocks;
+  std::map<std::uint32_t, OwnershipBlock> ownership_blocks;
   std::vector<UnreachableMachine> handover;  ///< by the last holder, for the loading
 
   bool ready() const { return stage == Stage::ready; }
   void changed() { next_pass = Micros{0}; }
-  void push_to(Machine& m) {
-    if (std::exchange(m.push_due, true)) return;
+  void request_push(Machine& m) {
+    if (std::exchange(m.push_pending, true)) return;
     push.push_back(m.name);
   }
   /// Ended: nothing of it may start, and all of it has to go.
@@ -279,21 +280,21 @@
     if (std::exchange(job.ended, true)) return;
     over.push_back(job.spec.id);
   }
-  bool all_settled() const {
-    return std::all_of(machines.begin(), machines.end(), [](const auto& m) { return m.second.settled; });
+  bool all_reconciled() const {
+    return std::all_of(machines.begin(), machines.end(), [](const auto& m) { return m.second.reconciled; });
   }
-  void awards_known(Micros as_of, Micros term) {
-    awards_known_at = as_of;
-    awards_good_until = as_of + term;
+  void awards_read(Micros as_of, Micros term) {
+    awards_read_at = as_of;
+    awards_valid_until = as_of + term;
   }
   /// An award may have been taken back, and its job cancelled, since the awards were last read.
   bool award_is_stale(const Job& job, Micros now) const {
-    return !job.owner.empty() && now >= awards_good_until;
+    return !job.owner.empty() && now >= awards_valid_until;
   }
   /// Whether tasks of the job may be started. Asked right before a placement: a term may have ended, and
   /// begun again without a word from the state service, since the queue was made.
   bool may_start(const Job& job, Micros now) const {
-    return job.can_start(now) && !job.unsettled && !award_is_stale(job, now);
+    return job.can_start(now) && !job.unreconciled && !award_is_stale(job, now);
   }
   /// Unique among all attempts that were ever made: tokens are, and they grow.
   std::uint64_t next_attempt() { return (fencing_token << 16) + ++starts; }
@@ -327,16 +328,16 @@
     count(m, id, it->second, -1);
     m.tasks.erase(it);
   }
-  void settle(Machine& m, bool settled) {
-    if (m.settled == settled) return;
+  void set_reconciled(Machine& m, bool reconciled) {
+    if (m.reconciled == reconciled) return;
     count_usage(m, -1);
-    m.settled = settled;
+    m.reconciled = reconciled;
     count_usage(m, 1);
   }
   /// Adds or takes away a machine, or what is on it, in the sums of the part.
   void count_usage(const Machine& m, int sign) {
-    if (!m.settled) {
-      usage_unsettled_ += quota_of(m.size) * sign;
+    if (!m.reconciled) {
+      usage_unreconciled_ += quota_of(m.size) * sign;
       return;
     }
     for (const auto& [id, p] : m.tasks)
@@ -347,7 +348,7 @@
   /// don't know counts for every team.
   Quota used(const std::string& team) const {
     auto it = usage_.find(team);
-    return usage_unsettled_ + usage_of_unknown_ + (it == usage_.end() ? Quota{} : it->second);
+    return usage_unreconciled_ + usage_of_unknown_ + (it == usage_.end() ? Quota{} : it->second);
   }
   Quota share(const std::string& team) const {
     Quota q;
@@ -365,7 +366,7 @@
     m.used += p.each * sign;
     if (!p.wanted) m.coming += p.each * sign;
     if (p.of_service) m.services += sign;
-    if (m.settled) *p.usage += quota_of(p.each) * sign;
+    if (m.reconciled) *p.usage += quota_of(p.each) * sign;
     if (p.of_known_job)
       if (auto job = jobs.find(id.task.job); job != jobs.end())
         job->second.present += static_cast<std::uint32_t>(sign);
@@ -373,7 +374,7 @@
 
   std::map<std::string, Quota> usage_;  ///< on settled machines, by team
   Quota usage_of_unknown_;
-  Quota usage_unsettled_;
+  Quota usage_unreconciled_;
 };
 
 }  // namespace bendtide
--- a/src/core/records.cpp
+++ b/src/core/records.cpp
@@ -144,20 +144,20 @@
   });
 }
 
-Value to_json(const std::vector<ClaimedMachine>& machines) {
+Value to_json(const std::vector<OwnedMachine>& machines) {
   Value out = Value::array();
-  for (const ClaimedMachine& m : machines)
-    out.push_back({m.name, m.type, m.zone, m.spot, m.address, m.rented.count()});
+  for (const OwnedMachine& m : machines)
+    out.push_back({m.name, m.type, m.zone, m.spot, m.address, m.rented_at.count()});
   return out;
 }
-std::size_t claim_bytes(const ClaimedMachine& m) {
+std::size_t owned_machine_bytes(const OwnedMachine& m) {
   constexpr std::size_t overhead = 48;         // quotes, commas, brackets, the flag and the time
   constexpr std::size_t longest_address = 24;  // it may come later
   return m.name.size() + m.type.size() + m.zone.size() + std::max(m.address.size(), longest_address) +
          overhead;
 }
-std::optional<std::vector<ClaimedMachine>> claims(const Value& v) {
-  return read<std::vector<ClaimedMachine>>(v, [](std::vector<ClaimedMachine>& out, const Value& in) {
+std::optional<std::vector<OwnedMachine>> owned_machines(const Value& v) {
+  return read<std::vector<OwnedMachine>>(v, [](std::vector<OwnedMachine>& out, const Value& in) {
     for (const Value& entry : in)
       out.push_back({entry.at(0).get<std::string>(), entry.at(1).get<std::string>(),
                      entry.at(2).get<std::string>(), entry.at(3).get<bool>(), entry.at(4).get<std::string>(),
--- a/src/core/records.h
+++ b/src/core/records.h
@@ -43,13 +43,13 @@
   std::vector<std::pair<std::uint32_t, std::uint32_t>> ranges;  ///< first task, number of tasks
   LiveJob job;
 };
-struct ClaimedMachine {
+struct OwnedMachine {
   std::string name;
   std::string type;
   std::string zone;
   bool spot = false;
   std::string address;
-  Micros rented{0};  ///< wall clock
+  Micros rented_at{0};  ///< wall clock
 };
 
 inline std::string lease_key(const std::string& shard) { return "hold/" + shard; }
@@ -64,18 +64,18 @@
 inline std::string award_key(const std::string& shard, const std::string& id, std::uint64_t round) {
   return award_prefix(shard) + id + "/" + std::to_string(round);
 }
-inline const std::string kHomes = "-";  ///< sorts before the name of any part
-inline std::string claim_key(const std::string& shard, std::uint32_t block) {
+inline const std::string kHomeShards = "-";  ///< sorts before the name of any part
+inline std::string ownership_key(const std::string& shard, std::uint32_t block) {
   return "claim/" + shard + "/" + std::to_string(block);
 }
-inline std::string home_key(const std::string& shard) { return "claim/" + kHomes + "/" + shard; }
+inline std::string home_shard_key(const std::string& shard) { return "claim/" + kHomeShards + "/" + shard; }
 /// Tasks in one chunk of a done record: its bitmap takes 1 KiB.
 constexpr std::uint32_t kChunk = 4096;
 inline const std::string kLeasePrefix = "hold/";
 inline const std::string kLivePrefix = "live/";
 inline const std::string kDonePrefix = "done/";
 inline const std::string kAwardPrefix = "award/";
-inline const std::string kClaimPrefix = "claim/";
+inline const std::string kOwnershipPrefix = "claim/";
 inline const std::string kCatalogueKey = "catalogue";
 inline const std::string kPolicyKey = "policy";
 
@@ -87,9 +87,9 @@
 Value to_json(const JobEntry&);
 Value to_json(const LiveJob&);
 Value to_json(const Award&);
-Value to_json(const std::vector<ClaimedMachine>&);
+Value to_json(const std::vector<OwnedMachine>&);
 /// How much one machine takes in a block, at most.
-std::size_t claim_bytes(const ClaimedMachine&);
+std::size_t owned_machine_bytes(const OwnedMachine&);
 Value to_json(const std::vector<MachineType>&);
 Value to_json(const std::vector<DoneBits>& done);
 /// How much one chunk takes in a done record, at most.
@@ -101,7 +101,7 @@
 std::optional<JobEntry> job_entry(const Value&);
 std::optional<LiveJob> live_job(const Value&);
 std::optional<Award> award(const Value&);
-std::optional<std::vector<ClaimedMachine>> claims(const Value&);
+std::optional<std::vector<OwnedMachine>> owned_machines(const Value&);
 std::optional<std::vector<MachineType>> catalogue(const Value&);
 std::optional<std::vector<DoneBits>> done(const Value&);
 
--- a/src/core/renter.cpp
+++ b/src/core/renter.cpp
@@ -146,23 +146,23 @@
 /// needed.
 bool Renter::may_still_come(const Machine& m, const std::map<std::string, Micros>& newest_up) const {
   const MachineType* type = state_.machine_type(m.type);
-  const Micros age = state_.context.wall - m.rented;
+  const Micros age = state_.context.wall - m.rented_at;
   if (age <= type->boot * 8 / 5 + seconds(2)) return true;
   if (!fleet_.booting(m)) return false;
   auto newest = newest_up.find(m.type);
-  return newest == newest_up.end() || newest->second < m.rented;
+  return newest == newest_up.end() || newest->second < m.rented_at;
 }
 
 std::vector<Renter::Bin> Renter::room_to_come(const Shard& shard) const {
   std::map<std::string, Micros> newest_up;  // of each type, by the moment of renting
   for (const auto& [name, m] : shard.machines)
-    if (m.heard) newest_up[m.type] = std::max(newest_up[m.type], m.rented);
+    if (m.status_received) newest_up[m.type] = std::max(newest_up[m.type], m.rented_at);
   std::vector<Bin> bins;
   for (const auto& [name, m] : shard.machines) {
     const MachineType* type = state_.machine_type(m.type);
-    if (m.condemned || type == nullptr) continue;
+    if (m.decommissioned || type == nullptr) continue;
     const Kind kind{m.type, m.zone, m.spot};
-    if (m.heard) {
+    if (m.status_received) {
       // Room that will be free before a new machine is up saves renting it.
       if (fleet_.usable(m)) bins.push_back({kind, m.coming_by(state_.now() + type->boot)});
     } else if (!shard.cut_zones.contains(m.zone) && may_still_come(m, newest_up)) {
@@ -273,8 +273,8 @@
           Shard* p = state_.shard_in_term(name, leadership_term);
           for (const std::string& machine : a.names) {
             if (p == nullptr) break;  // found as strays later
-            fleet_.claims().want(
-                *p, machine_of({machine, kind.type, kind.zone, kind.spot, {}, state_.context.wall}));
+            fleet_.ownership().request(
+                *p, machine_from({machine, kind.type, kind.zone, kind.spot, {}, state_.context.wall}));
           }
         }
       });
@@ -288,15 +288,15 @@
   const Micros idle = seconds(state_.context.policy.idle_return_s);
   // Kept idle for tasks that it does not suit, it could block the room in the cloud that these wait for.
   for (auto& [name, m] : shard.machines) {
-    if (m.condemned || !m.heard || !m.settled) continue;
+    if (m.decommissioned || !m.status_received || !m.reconciled) continue;
     // Behind a cut they are idle because nothing reaches them, and will be wanted when the cut is over.
-    if (m.lost || shard.cut_zones.contains(m.zone)) continue;
+    if (m.lease_expired || shard.cut_zones.contains(m.zone)) continue;
     if (!m.idle()) {
       drain_opportunistic(shard, m);
       continue;
     }
-    if (now - m.idle_since < idle || state_.context.wall - m.rented < kLeastPaid) continue;
-    m.condemned = true;
+    if (now - m.idle_since < idle || state_.context.wall - m.rented_at < kLeastPaid) continue;
+    m.decommissioned = true;
     state_.context.debug([&m = m] { return "machine " + m.name + " is idle: it is returned"; });
   }
 }
@@ -317,20 +317,20 @@
     auto job = shard.jobs.find(id.task.job);
     if (state_.context.wall - job->second.accepted < kLongestWait * 2 && job->second.present == 1) continue;
     shard.change(m, id, p, [](Placement& q) { q.wanted = false; });
-    shard.push_to(m);
+    shard.request_push(m);
   }
 }
 
 void Renter::give_up_stuck(Shard& shard) {
   for (auto& [name, m] : shard.machines) {
-    if (m.heard || m.condemned || fleet_.booting(m)) continue;
+    if (m.status_received || m.decommissioned || fleet_.booting(m)) continue;
     // Behind a cut it may have been up before we took the part. But machines that never came up look like a
     // cut, and would keep their zone closed to renting for as long as they are kept.
     const Micros lease = state_.context.settings.worker_lease;
     const Micros patience = shard.cut_zones.contains(m.zone) ? lease * 3 / 2 : lease;
     // When the zone can be reached again, all its workers have a lease's time to say so.
     if (state_.now() - std::max(shard.acquired_at, shard.cut_over) > patience) {
-      m.condemned = true;
+      m.decommissioned = true;
       state_.context.info("machine " + name + " does not come up: it is deleted");
     }
   }
@@ -339,7 +339,7 @@
 void Renter::remove_condemned(Shard& shard) {
   CloudDelete request;
   for (auto& [name, m] : shard.machines)
-    if (m.condemned && !m.deleting && request.machines.size() < kNamesPerDelete)
+    if (m.decommissioned && !m.deleting && request.machines.size() < kNamesPerDelete)
       request.machines.push_back(name);
   if (request.machines.empty()) return;
   const std::vector<std::string> names = request.machines;
@@ -363,23 +363,23 @@
   const Micros now = state_.now();
   if (now < next_list_) return;
   const Micros pause = state_.context.settings.cloud_list_lag * 3 + seconds(10);
-  const bool sent =
-      call(CloudList{list_from_},
-           [this, pause, name = shard.name, leadership_term = shard.leadership_term](const CloudAnswer& a) {
-             Shard* p = state_.shard_in_term(name, leadership_term);
-             if (p == nullptr || !a.ok()) return;
-             for (const CloudMachine& c : a.machines) {
-               if (fleet_.claims().shard_of(c.name) != nullptr ||
-                   fleet_.claims().home_shard(c.name, c.zone) != name)
-                 continue;
-               if (c.age < pause) continue;  // whoever rented it is about to claim it
-               fleet_.claims().want(
-                   *p, machine_of({c.name, c.type, c.zone, c.spot, c.address, state_.context.wall - c.age}));
-             }
-             // Page after page, then from the beginning.
-             list_from_ = a.more && !a.machines.empty() ? a.machines.back().name : "";
-             if (!list_from_.empty()) next_list_ = state_.now();
-           });
+  const bool sent = call(
+      CloudList{list_from_},
+      [this, pause, name = shard.name, leadership_term = shard.leadership_term](const CloudAnswer& a) {
+        Shard* p = state_.shard_in_term(name, leadership_term);
+        if (p == nullptr || !a.ok()) return;
+        for (const CloudMachine& c : a.machines) {
+          if (fleet_.ownership().shard_of(c.name) != nullptr ||
+              fleet_.ownership().home_shard(c.name, c.zone) != name)
+            continue;
+          if (c.age < pause) continue;  // whoever rented it is about to claim it
+          fleet_.ownership().request(
+              *p, machine_from({c.name, c.type, c.zone, c.spot, c.address, state_.context.wall - c.age}));
+        }
+        // Page after page, then from the beginning.
+        list_from_ = a.more && !a.machines.empty() ? a.machines.back().name : "";
+        if (!list_from_.empty()) next_list_ = state_.now();
+      });
   next_list_ = now + (sent ? pause : seconds(1));
 }
 
--- a/src/core/scheduler.cpp
+++ b/src/core/scheduler.cpp
@@ -140,7 +140,7 @@
     // Tasks waiting for the same image share its fetch: it counts as cached from now on.
     m.images[job.spec.image] = {state_.now(), job.spec.image_gb};
     if (job.spec.needs_one_decider()) ++per_zone[m.zone];
-    shard.push_to(m);
+    shard.request_push(m);
     if (one_at_a_time) return;
   }
 }
@@ -360,7 +360,7 @@
       const Job& loser = shard.jobs.at(id->task.job);
       if (!may_stop(loser)) continue;
       shard.change(*r.machine, *id, *p, [](Placement& q) { q.wanted = false; });
-      shard.push_to(*r.machine);
+      shard.request_push(*r.machine);
       state_.context.debug([&, task = id->task] {
         return task.job + "/" + std::to_string(task.index) + " on " + r.machine->name + " makes room for " +
                job.spec.id + (loser.spec.priority < job.spec.priority ? "" : " (guarantee)");
--- a/src/core/settings.h
+++ b/src/core/settings.h
@@ -41,7 +41,7 @@
   std::vector<Team> teams;
   std::vector<Objective> objectives;
   std::set<std::string> ignored_objectives;  ///< kinds that have no effect
-  Micros report_every{0};
+  Micros heartbeat_interval{0};
   Micros worker_lease{0};
   Micros cancel_within{0};
   double store_requests_per_s = 0;
@@ -69,7 +69,7 @@
                         [&](const Objective& o) { return o.job_class == spec.job_class; });
   }
   /// Longer than any pause between two reports of a worker that is well.
-  Micros report_pause() const { return report_every * 8 / 5 + seconds(1); }
+  Micros longest_heartbeat_pause() const { return heartbeat_interval * 8 / 5 + seconds(1); }
   /// The term of a part's lease. A holder may go on acting for a term after it lost the state service, and
   /// its workers for their lease after that; both together have to stay below the time in which a
   /// cancelled job must be gone, with a third of the slack left as margin. Where the workers' lease allows,
@@ -79,7 +79,7 @@
   Micros lease_term() const {
     const Micros longest{(cancel_within - worker_lease).count() * 2 / 3};
     const Micros failover_time = kWorkerPatience + kWorkerRetry + kFailover;
-    const Micros before_workers_lease = worker_lease - report_every * 5 / 4 - failover_time;
+    const Micros before_workers_lease = worker_lease - heartbeat_interval * 5 / 4 - failover_time;
     return std::clamp(before_workers_lease, std::min(longest, worker_lease) / 2, longest);
   }
   /// The longest time from the moment at which a user is told that a job is cancelled until its last task is
--- a/src/core/types.h
+++ b/src/core/types.h
@@ -126,7 +126,7 @@
 enum class TaskPhase : std::uint8_t { fetching, running, saving, exited };
 enum class ExitCause : std::uint8_t { none, done, stopped, failed, no_room, busy, unknown };
 
-struct ReportedTask {
+struct TaskStatus {
   TaskId task;
   std::uint64_t attempt = 0;
   TaskPhase phase = TaskPhase::fetching;
@@ -134,20 +134,20 @@
 };
 
 /// A worker's account of its machine. (session, sequence) orders the accounts of one machine.
-struct Report {
+struct Heartbeat {
   std::string machine;
   std::string address;
   std::string type;
   std::string zone;
   bool spot = false;
-  std::uint64_t session = 0;
-  std::uint64_t sequence = 0;
-  std::uint64_t fencing_token = 0;  ///< the highest the worker has seen
-  std::optional<Micros> notice;     ///< until the cloud takes the machine away
-  std::vector<ReportedTask> tasks;
+  std::uint64_t incarnation = 0;
+  std::uint64_t sequence_number = 0;
+  std::uint64_t fencing_token = 0;          ///< the highest the worker has seen
+  std::optional<Micros> preemption_notice;  ///< until the cloud takes the machine away
+  std::vector<TaskStatus> tasks;
 };
 
-struct Order {
+struct Command {
   enum class Kind : std::uint8_t { start, stop, forget };
   Kind kind = Kind::start;
   TaskId task;
--- a/src/wire/wire.cpp
+++ b/src/wire/wire.cpp
@@ -130,8 +130,8 @@
 const Table<ExitCause> kCauses = {{"done", ExitCause::done},    {"halted", ExitCause::stopped},
                                   {"error", ExitCause::failed}, {"full", ExitCause::no_room},
                                   {"in_use", ExitCause::busy},  {"unknown", ExitCause::unknown}};
-const Table<Order::Kind> kVerbs = {
-    {"run", Order::Kind::start}, {"kill", Order::Kind::stop}, {"clear", Order::Kind::forget}};
+const Table<Command::Kind> kVerbs = {
+    {"run", Command::Kind::start}, {"kill", Command::Kind::stop}, {"clear", Command::Kind::forget}};
 const Table<CloudPhase> kCloudPhases = {
     {"starting", CloudPhase::booting}, {"running", CloudPhase::running}, {"failed", CloudPhase::failed}};
 
@@ -162,23 +162,23 @@
   }
 }
 
-Report read_report(const json& v) {
+Heartbeat read_report(const json& v) {
   object(v);
-  Report r;
+  Heartbeat r;
   r.machine = name(v, kMachine);
   r.address = name(v, kAddress);
   r.type = name(v, kType);
   r.zone = name(v, kZone);
   r.spot = flag(v, kSpot, false);
-  r.session = count(v, kSession);
-  r.sequence = count(v, kSequence);
+  r.incarnation = count(v, kSession);
+  r.sequence_number = count(v, kSequence);
   r.fencing_token = count(v, kToken);
-  if (find(v, kNotice) != nullptr) r.notice = span(v, kNotice);
+  if (find(v, kNotice) != nullptr) r.preemption_notice = span(v, kNotice);
   const json& tasks = need(v, kTasks);
   if (!tasks.is_array()) fail(kTasks, "must be a list");
   for (const json& t : tasks) {
     object(t);
-    ReportedTask task;
+    TaskStatus task;
     task.task = task_id(t, kTask);
     task.attempt = count(t, kAttempt);
     task.phase = one_of(t, kPhase, kTaskPhases);
@@ -204,11 +204,11 @@
   return out;
 }
 
-json orders_json(const std::vector<Order>& orders) {
+json orders_json(const std::vector<Command>& commands) {
   json out = json::array();
-  for (const Order& o : orders) {
+  for (const Command& o : commands) {
     json entry = {{kVerb, text_of(o.kind, kVerbs)}, {kTask, task_name(o.task)}, {kAttempt, o.attempt}};
-    if (o.kind == Order::Kind::stop) entry[kGrace] = in_seconds(o.grace);
+    if (o.kind == Command::Kind::stop) entry[kGrace] = in_seconds(o.grace);
     out.push_back(std::move(entry));
   }
   return out;
@@ -299,21 +299,27 @@
   return v.dump();
 }
 
-Parsed<Report> report(std::string_view body) {
-  return reading<Report>([&] { return read_report(parse(body)); });
+Parsed<Heartbeat> heartbeat(std::string_view body) {
+  return reading<Heartbeat>([&] { return read_report(parse(body)); });
 }
 
-std::string body_of(const Report& r) {
+std::string body_of(const Heartbeat& r) {
   json tasks = json::array();
-  for (const ReportedTask& t : r.tasks) {
+  for (const TaskStatus& t : r.tasks) {
     json entry = {{kTask, task_name(t.task)}, {kAttempt, t.attempt}, {kPhase, text_of(t.phase, kTaskPhases)}};
     if (t.phase == TaskPhase::exited) entry[kCause] = text_of(t.cause, kCauses);
     tasks.push_back(std::move(entry));
   }
-  json v = {{kMachine, r.machine},   {kAddress, r.address},     {kType, r.type},
-            {kZone, r.zone},         {kSpot, r.spot},           {kSession, r.session},
-            {kSequence, r.sequence}, {kToken, r.fencing_token}, {kTasks, std::move(tasks)}};
-  if (r.notice) v[kNotice] = in_seconds(*r.notice);
+  json v = {{kMachine, r.machine},
+            {kAddress, r.address},
+            {kType, r.type},
+            {kZone, r.zone},
+            {kSpot, r.spot},
+            {kSession, r.incarnation},
+            {kSequence, r.sequence_number},
+            {kToken, r.fencing_token},
+            {kTasks, std::move(tasks)}};
+  if (r.preemption_notice) v[kNotice] = in_seconds(*r.preemption_notice);
   return v.dump();
 }
 
@@ -323,8 +329,8 @@
   return v.dump();
 }
 
-std::string body_of(const ReportReply& r) {
-  if (r.status == 200) return json{{kToken, r.fencing_token}, {kOrderList, orders_json(r.orders)}}.dump();
+std::string body_of(const HeartbeatReply& r) {
+  if (r.status == 200) return json{{kToken, r.fencing_token}, {kOrderList, orders_json(r.commands)}}.dump();
   if (!r.redirect.empty()) return json{{kRedirect, r.redirect}}.dump();
   return "{}";
 }
@@ -504,19 +510,20 @@
 
 // ---- workers -------------------------------------------------------------------------------------
 
-HttpRequest request_of(const OrdersRequest& r) {
-  return {"POST", kOrders,
-          json{{kToken, r.fencing_token}, {kSession, r.session}, {kOrderList, orders_json(r.orders)}}.dump()};
+HttpRequest request_of(const CommandRequest& r) {
+  return {"POST", kCommandsPerMessage,
+          json{{kToken, r.fencing_token}, {kSession, r.incarnation}, {kOrderList, orders_json(r.commands)}}
+              .dump()};
 }
 
-OrdersAnswer orders_answer(int status, std::string_view body) {
-  OrdersAnswer out;
-  if (status == 409 || status == 400) out.outcome = OrdersAnswer::Outcome::refused;
-  auto parsed = report(body);
-  if (auto* r = std::get_if<Report>(&parsed)) {
-    out.report = std::move(*r);
+CommandResponse command_response(int status, std::string_view body) {
+  CommandResponse out;
+  if (status == 409 || status == 400) out.outcome = CommandResponse::Outcome::refused;
+  auto parsed = heartbeat(body);
+  if (auto* r = std::get_if<Heartbeat>(&parsed)) {
+    out.heartbeat = std::move(*r);
     // Without the worker's account, the orders may as well not have been answered.
-    if (status == 200) out.outcome = OrdersAnswer::Outcome::executed;
+    if (status == 200) out.outcome = CommandResponse::Outcome::executed;
   }
   return out;
 }
--- a/src/wire/wire.h
+++ b/src/wire/wire.h
@@ -24,22 +24,22 @@
 Parsed<JobSpec> job_spec(std::string_view body);
 /// The id in a submission that may lack anything else; empty if there is none.
 std::string job_id_in(std::string_view body);
-Parsed<Report> report(std::string_view body);
+Parsed<Heartbeat> heartbeat(std::string_view body);
 
 std::string body_of(const UserReply& reply);
-std::string body_of(const ReportReply& reply);
+std::string body_of(const HeartbeatReply& reply);
 
 // ---- requests that we send, and their answers ----------------------------------------------------
 HttpRequest request_of(const StoreRequest& request);
 HttpRequest request_of(const CloudRequest& request);
-HttpRequest request_of(const OrdersRequest& request);
+HttpRequest request_of(const CommandRequest& request);
 
 StoreResponse store_response(const StoreRequest& request, int status, std::string_view body);
 CloudAnswer cloud_answer(const CloudRequest& request, int status, std::string_view body);
-OrdersAnswer orders_answer(int status, std::string_view body);
+CommandResponse command_response(int status, std::string_view body);
 
 // ---- the same protocol's other side, for stand-ins -------------------------------------------------
 std::string body_of(const JobSpec& spec);
-std::string body_of(const Report& report);
+std::string body_of(const Heartbeat& heartbeat);
 
 }  // namespace bendtide::wire
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -87,7 +87,8 @@
   for (const auto& [lease, report, cancel, least, most] :
        {std::tuple(22.0, 4.0, 52.0, 9.0, 11.0), std::tuple(26.5, 5.0, 46.5, 12.0, 13.4),
         std::tuple(12.0, 1.5, 42.0, 5.5, 6.5)}) {
-    s.worker_lease = seconds(lease), s.report_every = seconds(report), s.cancel_within = seconds(cancel);
+    s.worker_lease = seconds(lease), s.heartbeat_interval = seconds(report),
+    s.cancel_within = seconds(cancel);
     EXPECT_GE(s.lease_term(), seconds(least)) << lease;
     EXPECT_LE(s.lease_term(), seconds(most)) << lease;
     EXPECT_LT(s.lease_term() + s.worker_lease + seconds(5), s.cancel_within) << lease;
--- a/tests/late_answer_test.cpp
+++ b/tests/late_answer_test.cpp
@@ -57,7 +57,7 @@
   HandAnswered t;
   Job& job = t.add_job();
   job.owner = "b";
-  t.shard.awards_known(t.context.now, seconds(10));
+  t.shard.awards_read(t.context.now, seconds(10));
   t.collect([&] { t.jobs.on_malformed(1, kTask.job, "a repeat"); });
   StoreResponse absent;
   absent.outcome = Outcome::absent;
@@ -142,7 +142,7 @@
   for (const char* what : {"under way", "over", "known to be over", "awarded and in doubt"}) {
     HandAnswered t;
     Job& job = t.add_job();
-    t.at<LogLine>(100.5, [&] { t.fleet.on_report(1, t.report(10, 1, 4, false)); });
+    t.at<LogLine>(100.5, [&] { t.fleet.on_heartbeat(1, t.report(10, 1, 4, false)); });
     t.shard.place(t.machine(), {kTask, 7}, &job);
     job.leave_waiting(0, {Task::State::placed, &t.machine(), 7});
     const std::string now = what;
@@ -150,18 +150,19 @@
     if (now == "over") t.shard.end(job);
     if (now == "awarded and in doubt") {
       job.owner = "b";
-      t.shard.awards_known(seconds(91), seconds(10));
+      t.shard.awards_read(seconds(91), seconds(10));
     }
     if (now == "known to be over") t.state.final_states.record_final(kTask.job, {}, t.context.now);
-    const auto answers = t.at<AnswerWorker>(102, [&] { t.fleet.on_report(2, t.report(10, 1, 5, false)); });
+    const auto answers =
+        t.at<AnswerHeartbeat>(102, [&] { t.fleet.on_heartbeat(2, t.report(10, 1, 5, false)); });
     ASSERT_EQ(answers.size(), 1u);
-    EXPECT_TRUE(answers[0].reply.orders.empty()) << what;
-    t.machine().direct_call = false;
-    t.machine().lost_orders = 1;  // so that it is asked directly
-    t.shard.push_to(t.machine());
-    const auto calls = t.at<WorkerCall>(102.1, [&] { t.fleet.push_orders(t.shard); });
+    EXPECT_TRUE(answers[0].reply.commands.empty()) << what;
+    t.machine().push_in_flight = false;
+    t.machine().lost_pushes = 1;  // so that it is asked directly
+    t.shard.request_push(t.machine());
+    const auto calls = t.at<WorkerCall>(102.1, [&] { t.fleet.push_commands(t.shard); });
     ASSERT_EQ(calls.size(), 1u);
-    EXPECT_TRUE(calls[0].request.orders.empty()) << what;
+    EXPECT_TRUE(calls[0].request.commands.empty()) << what;
     EXPECT_EQ(t.context.invariants.total(), now == "known to be over" ? 1u : 0u);
   }
 }
--- a/tests/machine_test.cpp
+++ b/tests/machine_test.cpp
@@ -12,20 +12,20 @@
 // each had ended before the worker reported a second time.
 TEST(FirstAnswer, StopsWhatThePartDoesNotHave) {
   HeldPart t;
-  const auto answers = t.at<AnswerWorker>(101, [&] { t.fleet.on_report(1, t.report(5, 1, 4, true)); });
+  const auto answers = t.at<AnswerHeartbeat>(101, [&] { t.fleet.on_heartbeat(1, t.report(5, 1, 4, true)); });
   ASSERT_EQ(answers.size(), 1u);
   EXPECT_EQ(answers[0].reply.status, 200);
-  ASSERT_EQ(answers[0].reply.orders.size(), 1u);
-  EXPECT_EQ(answers[0].reply.orders[0].kind, Order::Kind::stop);
-  EXPECT_EQ(answers[0].reply.orders[0].task, kTask);
-  EXPECT_EQ(answers[0].reply.orders[0].attempt, 7u);
+  ASSERT_EQ(answers[0].reply.commands.size(), 1u);
+  EXPECT_EQ(answers[0].reply.commands[0].kind, Command::Kind::stop);
+  EXPECT_EQ(answers[0].reply.commands[0].task, kTask);
+  EXPECT_EQ(answers[0].reply.commands[0].attempt, 7u);
 
   HeldPart with_job;
   with_job.add_job();
-  const auto kept =
-      with_job.at<AnswerWorker>(101, [&] { with_job.fleet.on_report(1, with_job.report(5, 1, 4, true)); });
+  const auto kept = with_job.at<AnswerHeartbeat>(
+      101, [&] { with_job.fleet.on_heartbeat(1, with_job.report(5, 1, 4, true)); });
   ASSERT_EQ(kept.size(), 1u);
-  EXPECT_TRUE(kept[0].reply.orders.empty());
+  EXPECT_TRUE(kept[0].reply.commands.empty());
 }
 
 // A worker that reaches no controller begins a new session in which orders still reach it. Its tasks were
@@ -34,8 +34,8 @@
 TEST(MuteMachine, IsNotGivenUpBeforeTheLeaseOfItsSessionIsOver) {
   HeldPart t;
   Job& job = t.add_job();
-  t.orders_answered(108, 1, OrdersAnswer::Outcome::refused, t.report(10, 2, 1, false));
-  t.orders_answered(108, 2, OrdersAnswer::Outcome::executed, t.report(10, 2, 3, true));
+  t.orders_answered(108, 1, CommandResponse::Outcome::refused, t.report(10, 2, 1, false));
+  t.orders_answered(108, 2, CommandResponse::Outcome::executed, t.report(10, 2, 3, true));
   ASSERT_EQ(job.tasks[0].state, Task::State::placed);
   t.at<LogLine>(113, [&] { t.fleet.tick(); });
   EXPECT_EQ(job.tasks[0].state, Task::State::placed) << "the session's lease goes on until 120 s";
@@ -48,32 +48,32 @@
 TEST(HeldReports, AreOneSignOfDeafness) {
   HeldPart t;
   t.at<LogLine>(111, [&] {
-    t.fleet.on_report(1, t.report(5, 1, 4, false));
-    t.fleet.on_report(2, t.report(5, 1, 5, false));
-    t.fleet.on_report(3, t.report(5, 1, 6, false));
+    t.fleet.on_heartbeat(1, t.report(5, 1, 4, false));
+    t.fleet.on_heartbeat(2, t.report(5, 1, 5, false));
+    t.fleet.on_heartbeat(3, t.report(5, 1, 6, false));
     t.fleet.tick();
   });
-  EXPECT_FALSE(t.machine().condemned);
+  EXPECT_FALSE(t.machine().decommissioned);
   t.at<LogLine>(116, [&] {
-    t.fleet.on_report(4, t.report(5, 1, 7, false));
+    t.fleet.on_heartbeat(4, t.report(5, 1, 7, false));
     t.fleet.tick();
   });
-  EXPECT_TRUE(t.machine().condemned);
+  EXPECT_TRUE(t.machine().decommissioned);
 }
 
 // A cut swallows a direct order and holds the reports that follow it: all of that was sent before anything of
 // ours could have reached the worker. It once added up to a machine that is deleted though it is well.
 TEST(HeldReports, AndTheOrderLostInTheSameCutAreNoSignOfDeafness) {
   HeldPart t;
-  t.shard.settle(t.machine(), true);
-  t.at<LogLine>(101.5, [&] { t.fleet.on_orders_answer(1, {OrdersAnswer::Outcome::unknown, {}}); });
+  t.shard.set_reconciled(t.machine(), true);
+  t.at<LogLine>(101.5, [&] { t.fleet.on_command_response(1, {CommandResponse::Outcome::unknown, {}}); });
   t.at<LogLine>(111, [&] {
-    for (std::uint64_t sequence = 4; sequence < 9; ++sequence)
-      t.fleet.on_report(sequence, t.report(5, 1, sequence, false));
+    for (std::uint64_t sequence_number = 4; sequence_number < 9; ++sequence_number)
+      t.fleet.on_heartbeat(sequence_number, t.report(5, 1, sequence_number, false));
     t.fleet.tick();
   });
-  EXPECT_EQ(t.machine().unreachable_signs, 0);
-  EXPECT_FALSE(t.machine().condemned);
+  EXPECT_EQ(t.machine().missed_acknowledgements, 0);
+  EXPECT_FALSE(t.machine().decommissioned);
 }
 
 // Reports that were held together say nothing of the start that the first one was answered with.
@@ -81,38 +81,40 @@
   for (const auto& [next_report_at, signs] : {std::pair(101.1, 0), std::pair(106.0, 1)}) {
     HeldPart t;
     Job& job = t.add_job();
-    t.at<LogLine>(100.5, [&] { t.fleet.on_report(1, t.report(10, 1, 4, false)); });
+    t.at<LogLine>(100.5, [&] { t.fleet.on_heartbeat(1, t.report(10, 1, 4, false)); });
     t.shard.place(t.machine(), {kTask, 7}, &job);
     job.leave_waiting(0, {Task::State::placed, &t.machine(), 7});
-    t.at<LogLine>(101, [&] { t.fleet.on_report(2, t.report(10, 1, 5, false)); });
-    t.at<LogLine>(next_report_at, [&] { t.fleet.on_report(3, t.report(10, 1, 6, false)); });
-    EXPECT_EQ(t.machine().unreachable_signs, signs) << next_report_at;
+    t.at<LogLine>(101, [&] { t.fleet.on_heartbeat(2, t.report(10, 1, 5, false)); });
+    t.at<LogLine>(next_report_at, [&] { t.fleet.on_heartbeat(3, t.report(10, 1, 6, false)); });
+    EXPECT_EQ(t.machine().missed_acknowledgements, signs) << next_report_at;
   }
 }
 
 // The machine is asked again as soon as it reports. Only an order lost then as well is a sign.
 TEST(LostOrders, AreASignOfDeafnessOnceReportsCameInBetween) {
   HeldPart t;
-  t.at<LogLine>(101, [&] { t.fleet.on_report(4, t.report(10, 1, 4, false)); });
+  t.at<LogLine>(101, [&] { t.fleet.on_heartbeat(4, t.report(10, 1, 4, false)); });
   std::uint64_t call = 1;
   for (const auto& step : {std::pair(107.0, 0), std::pair(112.0, 2)}) {
     const double moment = step.first;
     const int signs = step.second;
-    t.at<LogLine>(moment - 4, [&] { t.fleet.on_orders_answer(call, {OrdersAnswer::Outcome::unknown, {}}); });
+    t.at<LogLine>(moment - 4, [&] {
+      t.fleet.on_command_response(call, {CommandResponse::Outcome::unknown, {}});
+    });
     const auto calls = t.at<WorkerCall>(moment, [&] {
-      t.fleet.on_report(call, t.report(10, 1, static_cast<std::uint64_t>(moment), false));
-      t.fleet.push_orders(t.shard);
+      t.fleet.on_heartbeat(call, t.report(10, 1, static_cast<std::uint64_t>(moment), false));
+      t.fleet.push_commands(t.shard);
     });
-    EXPECT_EQ(t.machine().unreachable_signs, signs) << moment;
+    EXPECT_EQ(t.machine().missed_acknowledgements, signs) << moment;
     ASSERT_EQ(calls.size(), 1u) << moment;
     call = calls[0].call;
   }
   t.at<LogLine>(117, [&] {
-    t.fleet.on_orders_answer(call, {OrdersAnswer::Outcome::unknown, {}});
-    t.fleet.on_report(call, t.report(10, 1, 117, false));
+    t.fleet.on_command_response(call, {CommandResponse::Outcome::unknown, {}});
+    t.fleet.on_heartbeat(call, t.report(10, 1, 117, false));
     t.fleet.tick();
   });
-  EXPECT_TRUE(t.machine().condemned);
+  EXPECT_TRUE(t.machine().decommissioned);
 }
 
 // A holder whose term was renewed after an outage once started, and kept alive, what was awarded to it
@@ -122,23 +124,23 @@
   Scheduler scheduler(t.state, t.fleet);
   ContractNet net(t.state, scheduler, {[] {}});
   Job& job = t.add_job();
-  t.shard.awards_known(seconds(100), seconds(10));
+  t.shard.awards_read(seconds(100), seconds(10));
   EXPECT_TRUE(t.shard.may_start(job, seconds(200))) << "our own";
   job.owner = "b";
   EXPECT_TRUE(t.shard.may_start(job, seconds(109)));
   EXPECT_FALSE(t.shard.may_start(job, seconds(110)));
 
-  t.at<AnswerWorker>(105, [&] { t.fleet.on_report(1, t.report(10, 1, 4, true)); });
+  t.at<AnswerHeartbeat>(105, [&] { t.fleet.on_heartbeat(1, t.report(10, 1, 4, true)); });
   ASSERT_EQ(job.tasks[0].state, Task::State::placed);
   for (const auto& step : {std::pair(109.0, 0u), std::pair(111.0, 1u)}) {
     const double moment = step.first;
     const unsigned stops = step.second;
-    const auto answers = t.at<AnswerWorker>(moment, [&] {
-      net.stop_doubtful(t.shard, t.machine());
-      t.fleet.on_report(2, t.report(10, 1, static_cast<std::uint64_t>(moment), true));
+    const auto answers = t.at<AnswerHeartbeat>(moment, [&] {
+      net.stop_stale_awards(t.shard, t.machine());
+      t.fleet.on_heartbeat(2, t.report(10, 1, static_cast<std::uint64_t>(moment), true));
     });
     ASSERT_EQ(answers.size(), 1u);
-    EXPECT_EQ(answers[0].reply.orders.size(), stops) << moment;
+    EXPECT_EQ(answers[0].reply.commands.size(), stops) << moment;
   }
 }
 
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -21,14 +21,14 @@
   }
   /// Up, settled and heard a moment ago.
   Machine& add_machine(const std::string& name, bool spot = false) {
-    Machine& m = fleet.add(shard, machine_of({name, "small", "z", spot, name + ":1", context.wall}), true);
+    Machine& m = fleet.add(shard, machine_from({name, "small", "z", spot, name + ":1", context.wall}), true);
     m.size = {8000, 0, 64000};
-    m.heard = true;
+    m.status_received = true;
     return m;
   }
   Machine& add_booting(const std::string& name, Micros rented_ago) {
     Machine& m =
-        fleet.add(shard, machine_of({name, "small", "z", false, "", context.wall - rented_ago}), false);
+        fleet.add(shard, machine_from({name, "small", "z", false, "", context.wall - rented_ago}), false);
     m.size = {8000, 0, 64000};
     return m;
   }
@@ -135,7 +135,7 @@
   t.rented();
   EXPECT_TRUE(m.tasks.begin()->second.wanted) << "something may come yet";
   t.context.now += seconds(30);
-  m.last_heard = m.last_reported = t.context.now;
+  m.last_status_at = m.last_heartbeat_at = t.context.now;
   t.rented();
   EXPECT_FALSE(m.tasks.begin()->second.wanted);
 }
--- a/tests/sim/action_digest.cpp
+++ b/tests/sim/action_digest.cpp
@@ -35,7 +35,7 @@
     return {std::to_string(answer.request), std::to_string(answer.reply.status), wire::body_of(answer.reply),
             std::to_string(answer.reply.retry_after_s)};
   }
-  std::vector<std::string> operator()(const AnswerWorker& answer) const {
+  std::vector<std::string> operator()(const AnswerHeartbeat& answer) const {
     return {std::to_string(answer.request), std::to_string(answer.reply.status), wire::body_of(answer.reply),
             answer.reply.redirect};
   }
--- a/tests/sim/day.cpp
+++ b/tests/sim/day.cpp
@@ -23,7 +23,7 @@
   s.zones = {"east", "west"};
   s.teams = {{"blue", {16000, 0}, {48000, 0}}, {"green", {16000, 0}, {30000, 0}}};
   if (plan.tight_limits) s.teams = {{"blue", {8000, 0}, {24000, 0}}, {"green", {8000, 0}, {20000, 0}}};
-  s.report_every = seconds(plan.slow_reports ? 4 : 1.5);
+  s.heartbeat_interval = seconds(plan.slow_reports ? 4 : 1.5);
   s.worker_lease = seconds(plan.slow_reports ? 20 : 12);
   s.cancel_within = seconds(40);
   s.store_requests_per_s = 200;
@@ -188,9 +188,9 @@
 template <class WithOrders>
 WithOrders Day::sabotaged(WithOrders message) const {
   if (plan_.sabotage == Sabotage::keep_cancelled)
-    std::erase_if(message.orders, [](const Order& o) { return o.kind == Order::Kind::stop; });
-  std::erase_if(message.orders, [&](const Order& o) {
-    if (o.kind != Order::Kind::start) return false;
+    std::erase_if(message.commands, [](const Command& o) { return o.kind == Command::Kind::stop; });
+  std::erase_if(message.commands, [&](const Command& o) {
+    if (o.kind != Command::Kind::start) return false;
     const JobSpec& spec = specs_.at(o.task.job);
     return plan_.sabotage == Sabotage::start_nothing ||
            (plan_.sabotage == Sabotage::starve_team && spec.team == "green") ||
@@ -199,9 +199,9 @@
   return message;
 }
 
-void Day::count_starts(const std::vector<Order>& orders) {
-  for (const Order& o : orders)
-    if (o.kind == Order::Kind::start && checker_.ordered(o.task, now_) && plan_.verbose)
+void Day::count_starts(const std::vector<Command>& orders) {
+  for (const Command& o : orders)
+    if (o.kind == Command::Kind::start && checker_.ordered(o.task, now_) && plan_.verbose)
       std::printf("%9.3f ---- %s/%u is started though it is cancelled\n", in_seconds(now_),
                   o.task.job.c_str(), o.task.index);
 }
@@ -242,24 +242,26 @@
           [call = a.call](Controller& c, const CloudAnswer& answer) { c.on_cloud(call, answer); });
     }
     void operator()(WorkerCall& a) {
-      d.count_starts(a.request.orders);
+      d.count_starts(a.request.commands);
       const std::string machine = a.request.address.substr(0, a.request.address.find(':'));
-      d.call<OrdersAnswer>(
+      d.call<CommandResponse>(
           node, machine, millis(1500),
           [day = &d, machine, body = wire::request_of(d.sabotaged(std::move(a.request))).body] {
             auto it = day->cloud_.machines().find(machine);
             if (it == day->cloud_.machines().end() || it->second.dead || !it->second.worker ||
                 it->second.worker->deaf)
-              return OrdersAnswer{};
+              return CommandResponse{};
             day->copy_later([day, machine, body] {
               auto again = day->cloud_.machines().find(machine);
               if (again != day->cloud_.machines().end() && !again->second.dead && again->second.worker)
                 again->second.worker->orders(body, day->now_);
             });
             Response r = it->second.worker->orders(body, day->now_);
-            return wire::orders_answer(r.status, r.body);
+            return wire::command_response(r.status, r.body);
           },
-          [call = a.call](Controller& c, const OrdersAnswer& answer) { c.on_orders(call, answer); });
+          [call = a.call](Controller& c, const CommandResponse& answer) {
+            c.on_command_response(call, answer);
+          });
     }
     void operator()(PeerSend& a) {
       for (auto& other : d.nodes_) {
@@ -281,7 +283,7 @@
       node.users.erase(it);
       answer(a.reply);
     }
-    void operator()(AnswerWorker& a) {
+    void operator()(AnswerHeartbeat& a) {
       auto it = node.workers.find(a.request);
       if (it == node.workers.end()) return;
       auto answer = std::move(it->second);
@@ -363,9 +365,10 @@
   };
   auto copy = [this, body] {
     Node& any = *nodes_[static_cast<std::size_t>(pick(3))];
-    auto copy = wire::report(body);
+    auto copy = wire::heartbeat(body);
     const std::uint64_t request = any.next_request++;
-    on_node(any, any.life, [request, copy](Controller& c) { c.on_report(request, std::get<Report>(copy)); });
+    on_node(any, any.life,
+            [request, copy](Controller& c) { c.on_heartbeat(request, std::get<Heartbeat>(copy)); });
   };
   copy_later(copy);
   if (now_ < reports_late_until_ && chance() < 0.4) {
@@ -385,23 +388,23 @@
     send(name, host, [this, node = node.get(), body, name, with_worker] {
       if (!node->up) return with_worker([this](Worker& w) { w.report_failed(now_); });
       const std::uint64_t request = node->next_request++;
-      node->workers[request] = [this, node, name, with_worker](const ReportReply& reply) {
-        ReportReply sent = sabotaged(reply);
+      node->workers[request] = [this, node, name, with_worker](const HeartbeatReply& reply) {
+        HeartbeatReply sent = sabotaged(reply);
         if (plan_.sabotage == Sabotage::start_cancelled)
-          for (const Order& o : reply.orders)
-            if (o.kind == Order::Kind::stop)
-              sent.orders.push_back({Order::Kind::start, o.task, o.attempt + 1'000'000, {}});
-        count_starts(sent.orders);
+          for (const Command& o : reply.commands)
+            if (o.kind == Command::Kind::stop)
+              sent.commands.push_back({Command::Kind::start, o.task, o.attempt + 1'000'000, {}});
+        count_starts(sent.commands);
         if (plan_.sabotage == Sabotage::start_twice || plan_.sabotage == Sabotage::start_anywhere)
-          for (const Order& o : reply.orders) {
-            if (o.kind != Order::Kind::start) continue;
+          for (const Command& o : reply.commands) {
+            if (o.kind != Command::Kind::start) continue;
             for (auto& [other_name, other] : cloud_.machines()) {
               if (other_name == name || !other.worker || other.dead) continue;
               const JobSpec& spec = specs_.at(o.task.job);
               if (plan_.sabotage == Sabotage::start_anywhere && (!spec.zone || *spec.zone == other.zone))
                 continue;
               // The order must look right to the worker: its own token and session.
-              OrdersRequest order{other.name, 1, reply.fencing_token + 1'000'000, {o}};
+              CommandRequest order{other.name, 1, reply.fencing_token + 1'000'000, {o}};
               other.worker->orders(wire::request_of(order).body, now_);
               break;
             }
@@ -413,9 +416,9 @@
           });
         });
       };
-      auto parsed = wire::report(body);
+      auto parsed = wire::heartbeat(body);
       on_node(*node, node->life,
-              [request, parsed](Controller& c) { c.on_report(request, std::get<Report>(parsed)); });
+              [request, parsed](Controller& c) { c.on_heartbeat(request, std::get<Heartbeat>(parsed)); });
     });
   }
 }
--- a/tests/sim/day.h
+++ b/tests/sim/day.h
@@ -141,7 +141,7 @@
     Micros frozen_until{0};
     Micros freezes_for{0};  ///< in the middle of the next event
     std::map<std::uint64_t, std::function<void(const UserReply&)>> users;
-    std::map<std::uint64_t, std::function<void(const ReportReply&)>> workers;
+    std::map<std::uint64_t, std::function<void(const HeartbeatReply&)>> workers;
   };
   struct User {
     JobSpec spec;
@@ -177,7 +177,7 @@
   Micros steady(const Node& node) const;        ///< its own clock
   void finish(Node& node, std::uint64_t life);  ///< performs what the last event led to
   void perform(Node& node, Action action);
-  void count_starts(const std::vector<Order>& orders);
+  void count_starts(const std::vector<Command>& orders);
   void tick(Node& node, std::uint64_t life);
   /// A call over the network with an answer or a time-out.
   template <class Answer>
--- a/tests/sim/held_part.h
+++ b/tests/sim/held_part.h
@@ -13,7 +13,7 @@
   static Settings settings() {
     Settings s;
     s.host = "a";
-    s.report_every = seconds(1.5);
+    s.heartbeat_interval = seconds(1.5);
     s.worker_lease = seconds(12);
     s.cancel_within = seconds(42);
     s.sockets = 100;
@@ -36,11 +36,11 @@
     shard.fencing_token = shard.first_fencing_token = 10;
     shard.leadership_term = 1;
     shard.acquired_at = context.now;
-    const std::vector<records::ClaimedMachine> claimed{{"m", "small", "z", false, "m:1", {}}};
-    fleet.claims().load(shard, {{records::claim_key("a", 0), records::to_json(claimed), 3}});
+    const std::vector<records::OwnedMachine> claimed{{"m", "small", "z", false, "m:1", {}}};
+    fleet.ownership().load(shard, {{records::ownership_key("a", 0), records::to_json(claimed), 3}});
     shard.stage = Shard::Stage::ready;
     fleet.on_shard_ready(shard);
-    fleet.push_orders(shard);
+    fleet.push_commands(shard);
   }
   Job& add_job() {
     records::LiveJob record;
@@ -52,9 +52,9 @@
     return Jobs::load(shard, record);
   }
   Machine& machine() { return shard.machines.at("m"); }
-  Report report(std::uint64_t fencing_token, std::uint64_t session, std::uint64_t sequence,
-                bool with_task) const {
-    Report r{"m", "m:1", "small", "z", false, session, sequence, fencing_token, {}, {}};
+  Heartbeat report(std::uint64_t fencing_token, std::uint64_t incarnation, std::uint64_t sequence_number,
+                   bool with_task) const {
+    Heartbeat r{"m", "m:1", "small", "z", false, incarnation, sequence_number, fencing_token, {}, {}};
     if (with_task) r.tasks = {{kTask, 7, TaskPhase::running, ExitCause::none}};
     return r;
   }
@@ -69,11 +69,11 @@
       if (auto* a = std::get_if<Kind>(&action)) out.push_back(*a);
     return out;
   }
-  void orders_answered(double moment, std::uint64_t call, OrdersAnswer::Outcome outcome,
-                       const Report& report) {
+  void orders_answered(double moment, std::uint64_t call, CommandResponse::Outcome outcome,
+                       const Heartbeat& report) {
     at<LogLine>(moment, [&] {
-      fleet.on_orders_answer(call, {outcome, report});
-      fleet.push_orders(shard);
+      fleet.on_command_response(call, {outcome, report});
+      fleet.push_commands(shard);
     });
   }
 };
--- a/tests/sim/services.cpp
+++ b/tests/sim/services.cpp
@@ -274,17 +274,17 @@
   }
 }
 
-Report Worker::status(Micros) {
-  Report r;
+Heartbeat Worker::status(Micros) {
+  Heartbeat r;
   r.machine = machine_.name;
   r.address = machine_.address;
   r.type = machine_.type;
   r.zone = machine_.zone;
   r.spot = machine_.spot;
-  r.session = session_;
-  r.sequence = ++sequence_;
+  r.incarnation = session_;
+  r.sequence_number = ++sequence_;
   r.fencing_token = token_;
-  r.notice = notice_;
+  r.preemption_notice = notice_;
   for (const auto& [key, held] : tasks_) r.tasks.push_back({key.first, key.second, held.phase, held.cause});
   return r;
 }
@@ -292,7 +292,7 @@
 bool Worker::wants_report(Micros now) const {
   if (hanging || machine_.dead || reporting_ || now < retry_at) return false;
   const Micros pause = now - last_report_;
-  return pause >= settings_.report_every || (changed_ && pause >= millis(500));
+  return pause >= settings_.heartbeat_interval || (changed_ && pause >= millis(500));
 }
 
 std::string Worker::report(Micros now) {
--- a/tests/sim/services.h
+++ b/tests/sim/services.h
@@ -136,7 +136,7 @@
     ExitCause cause = ExitCause::none;
     Micros until{0};
   };
-  Report status(Micros now);
+  Heartbeat status(Micros now);
   void execute(const nlohmann::json& orders, Micros now);
   void start(const TaskId& task, std::uint64_t attempt, Micros now);
   void new_session(Micros now);
--- a/tests/size_test.cpp
+++ b/tests/size_test.cpp
@@ -66,7 +66,7 @@
   std::size_t parts_settled() const {
     std::size_t n = 0;
     for (const auto& [name, shard] : core_->state().shards)
-      n += shard.ready() && shard.all_settled() && !shard.unsettled_jobs ? 1 : 0;
+      n += shard.ready() && shard.all_reconciled() && !shard.has_unreconciled_jobs ? 1 : 0;
     return n;
   }
   /// Another process in place of this one.
@@ -85,23 +85,23 @@
     const std::uint64_t request = ++request_;
     event([&] { core_->on_submit(request, spec); });
   }
-  Report report_of(const std::string& name) {
-    Report r;
+  Heartbeat report_of(const std::string& name) {
+    Heartbeat r;
     r.machine = name;
     r.address = name + ":1";
     r.type = "type";
     r.zone = zone_of(name);
-    r.session = 1;
-    r.sequence = ++sequence_;
+    r.incarnation = 1;
+    r.sequence_number = ++sequence_;
     r.fencing_token = token_[name];
     r.tasks = tasks_[name];
     return r;
   }
   void report(const std::string& name) {
-    const Report r = report_of(name);
+    const Heartbeat r = report_of(name);
     reporting_ = name;
     const std::uint64_t request = ++request_;
-    event([&] { core_->on_report(request, r); });
+    event([&] { core_->on_heartbeat(request, r); });
   }
   void report_all() {
     for (const std::string& name : machines_) report(name);
@@ -160,13 +160,12 @@
     for (auto actions = core_->take_actions(now_); !actions.empty(); actions = core_->take_actions(now_))
       for (Action& action : actions) perform(action);
   }
-  void take(const std::string& name, std::uint64_t fencing_token, const std::vector<Order>& orders) {
+  void take(const std::string& name, std::uint64_t fencing_token, const std::vector<Command>& orders) {
     token_[name] = std::max(token_[name], fencing_token);
-    std::vector<ReportedTask>& held = tasks_[name];
-    for (const Order& o : orders)
-      if (o.kind == Order::Kind::start && std::none_of(held.begin(), held.end(), [&](const ReportedTask& t) {
-            return t.attempt == o.attempt;
-          }))
+    std::vector<TaskStatus>& held = tasks_[name];
+    for (const Command& o : orders)
+      if (o.kind == Command::Kind::start &&
+          std::none_of(held.begin(), held.end(), [&](const TaskStatus& t) { return t.attempt == o.attempt; }))
         held.push_back({o.task, o.attempt, TaskPhase::running, {}});
   }
   void perform(Action& action) {
@@ -179,13 +178,13 @@
       if (auto* gone = std::get_if<CloudDelete>(&asked->request)) deleted_ += gone->machines.size();
       const Response r = cloud_.handle(wire::request_of(asked->request), now_);
       core_->on_cloud(asked->call, wire::cloud_answer(asked->request, r.status, r.body));
-    } else if (auto* reply = std::get_if<AnswerWorker>(&action)) {
-      if (reply->reply.status == 200) take(reporting_, reply->reply.fencing_token, reply->reply.orders);
+    } else if (auto* reply = std::get_if<AnswerHeartbeat>(&action)) {
+      if (reply->reply.status == 200) take(reporting_, reply->reply.fencing_token, reply->reply.commands);
     } else if (auto* orders = std::get_if<WorkerCall>(&action)) {
       const std::string name = orders->request.address.substr(0, orders->request.address.find(':'));
-      if (zone_of(name) == cut_zone) return core_->on_orders(orders->call, {});
-      take(name, orders->request.fencing_token, orders->request.orders);
-      core_->on_orders(orders->call, {OrdersAnswer::Outcome::executed, report_of(name)});
+      if (zone_of(name) == cut_zone) return core_->on_command_response(orders->call, {});
+      take(name, orders->request.fencing_token, orders->request.commands);
+      core_->on_command_response(orders->call, {CommandResponse::Outcome::executed, report_of(name)});
     }
   }
 
@@ -195,7 +194,7 @@
   std::unique_ptr<Controller> core_;
   Micros now_{seconds(1)};
   std::vector<std::string> machines_;
-  std::map<std::string, std::vector<ReportedTask>> tasks_;
+  std::map<std::string, std::vector<TaskStatus>> tasks_;
   std::map<std::string, std::uint64_t> token_;
   std::string reporting_;
   std::uint64_t request_ = 0, sequence_ = 0;
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -87,21 +87,21 @@
       R"({"helm":"n-1","address":"10.0.0.1:9","hull":"g","berth":"a","driftwood":true,"watch":2,"tick":8,"baton":4,
       "warningS":2.5,"shards":[{"shard":"run-1/3","launch":7,"phase":"ended","cause":"halted","saved":true},
       {"shard":"run-2/0","launch":1,"phase":"pulling"}]})";
-  const auto parsed = report(text);
-  const auto* r = std::get_if<Report>(&parsed);
+  const auto parsed = heartbeat(text);
+  const auto* r = std::get_if<Heartbeat>(&parsed);
   ASSERT_NE(r, nullptr) << std::get<std::string>(parsed);
   EXPECT_EQ(r->tasks.at(0).cause, ExitCause::stopped);
   EXPECT_EQ(r->tasks.at(1).task, (TaskId{"run-2", 0}));
-  EXPECT_EQ(body_of(std::get<Report>(report(body_of(*r)))), body_of(*r));
+  EXPECT_EQ(body_of(std::get<Heartbeat>(heartbeat(body_of(*r)))), body_of(*r));
   for (const char* field : {"helm", "watch", "tick", "baton", "shards"}) {
     json broken = json::parse(text);
     broken[field] = json::object();
-    EXPECT_TRUE(std::holds_alternative<std::string>(report(broken.dump()))) << field;
+    EXPECT_TRUE(std::holds_alternative<std::string>(heartbeat(broken.dump()))) << field;
   }
   for (const char* task : {"run-1", "run-1/", "run-1/x", "run-1/-1", "run-1/99999999999", "x/1"}) {
     json broken = json::parse(text);
     broken["shards"][0]["shard"] = task;
-    EXPECT_TRUE(std::holds_alternative<std::string>(report(broken.dump()))) << task;
+    EXPECT_TRUE(std::holds_alternative<std::string>(heartbeat(broken.dump()))) << task;
   }
 }
 
@@ -152,12 +152,12 @@
 }
 
 TEST(OrdersAnswers, WithoutTheWorkersAccountAreNone) {
-  using Outcome = OrdersAnswer::Outcome;
-  EXPECT_EQ(orders_answer(200, "{}").outcome, Outcome::unknown);
-  EXPECT_EQ(orders_answer(409, "{}").outcome, Outcome::refused);
-  Report r;
+  using Outcome = CommandResponse::Outcome;
+  EXPECT_EQ(command_response(200, "{}").outcome, Outcome::unknown);
+  EXPECT_EQ(command_response(409, "{}").outcome, Outcome::refused);
+  Heartbeat r;
   r.machine = r.address = r.type = r.zone = "x";
-  EXPECT_EQ(orders_answer(200, body_of(r)).outcome, Outcome::executed);
+  EXPECT_EQ(command_response(200, body_of(r)).outcome, Outcome::executed);
 }
 
 }  // namespace
