--- a/src/app/daemon.cpp
+++ b/src/app/daemon.cpp
@@ -92,9 +92,11 @@
           }));
     }
     void operator()(CloudCall& a) {
-      d.loop_.spawn(d.call_service<CloudAnswer>(
-          d.cloud_, std::move(a.request), kCloudWithin, Metrics::Kind::cloud, wire::cloud_answer,
-          [&core = d.core_, call = a.call](const CloudAnswer& answer) { core.on_cloud(call, answer); }));
+      d.loop_.spawn(d.call_service<CloudResponse>(
+          d.cloud_, std::move(a.request), kCloudWithin, Metrics::Kind::cloud, wire::cloud_response,
+          [&core = d.core_, call = a.call](const CloudResponse& answer) {
+            core.on_cloud_response(call, answer);
+          }));
     }
     void operator()(WorkerCall& a) { d.loop_.spawn(d.call_worker(a.call, std::move(a.request))); }
     void operator()(PeerSend& a) {
--- a/src/codec/codec.cpp
+++ b/src/codec/codec.cpp
@@ -175,21 +175,22 @@
   a.fields(m.id, m.status), a.field(m.phase, JobPhase::cancelled), a.fields(m.done, m.running);
 }
 template <class A, class M>
-requires std::is_same_v<std::remove_const_t<M>, Call>
+requires std::is_same_v<std::remove_const_t<M>, CallForProposals>
 void describe(A& a, M& m) {
   a.fields(m.id, m.round, m.from_shard, m.job, m.team, m.tasks, m.each, m.types, m.zone, m.spot, m.image,
-           m.spare, m.disclosed);
+           m.spare_quota, m.disclosed);
   a.field(m.priority, Priority::production), a.field(m.deadline_in);
 }
 template <class A, class M>
 requires std::is_same_v<std::remove_const_t<M>, Proposal>
 void describe(A& a, M& m) {
-  a.fields(m.id, m.round, m.shard, m.tasks, m.start_delay, m.load_permille, m.room_revision, m.free_share);
+  a.fields(m.id, m.round, m.shard, m.tasks, m.start_delay, m.load_permille, m.quota_revision,
+           m.free_quota_share);
 }
 template <class A, class M>
-requires std::is_same_v<std::remove_const_t<M>, Awarded> ||
+requires std::is_same_v<std::remove_const_t<M>, AwardNotice> ||
     std::is_same_v<std::remove_const_t<M>, FailbackRequest> ||
-    std::is_same_v<std::remove_const_t<M>, Progress>
+    std::is_same_v<std::remove_const_t<M>, ProgressNotice>
 void describe(A& a, M& m) { a.field(m.shard); }
 template <class A, class M>
 requires std::is_same_v<std::remove_const_t<M>, PeerHealth>
@@ -206,13 +207,13 @@
   });
 }
 template <class A, class M>
-requires std::is_same_v<std::remove_const_t<M>, Scarce>
+requires std::is_same_v<std::remove_const_t<M>, CapacityExhausted>
 void describe(A& a, M& m) { a.fields(m.type, m.zone, m.spot); }
 template <class A, class M>
-requires std::is_same_v<std::remove_const_t<M>, Lend>
+requires std::is_same_v<std::remove_const_t<M>, QuotaTransferRequest>
 void describe(A& a, M& m) { a.fields(m.from, m.to, m.team, m.want, m.waits_since); }
 template <class A, class M>
-requires std::is_same_v<std::remove_const_t<M>, Ended>
+requires std::is_same_v<std::remove_const_t<M>, JobEndNotice>
 void describe(A& a, M& m) { a.field(m.job); }
 
 template <std::size_t I = 0>
--- a/src/core/calls.h
+++ b/src/core/calls.h
@@ -66,23 +66,23 @@
 };
 
 // ---- cloud ---------------------------------------------------------------------------------------
-struct CloudCatalogue {};
-struct CloudRent {
-  std::string charter;
+struct ListMachineTypes {};
+struct CreateMachines {
+  std::string idempotency_key;
   std::string type;
   std::string zone;
   bool spot = false;
   int count = 0;
 };
-struct CloudDelete {
+struct DeleteMachines {
   std::vector<std::string> machines;
 };
-struct CloudList {
+struct ListMachines {
   std::string after;
 };
-using CloudRequest = std::variant<CloudCatalogue, CloudRent, CloudDelete, CloudList>;
+using CloudRequest = std::variant<ListMachineTypes, CreateMachines, DeleteMachines, ListMachines>;
 
-struct CloudAnswer {
+struct CloudResponse {
   enum class Outcome : std::uint8_t { ok, no_capacity, refused, unknown };
   Outcome outcome = Outcome::unknown;
   std::vector<MachineType> types;
@@ -149,7 +149,7 @@
   std::uint64_t running = 0;
 };
 /// Contract net: the call for proposals and, in later rounds, the call disclosed further.
-struct Call {
+struct CallForProposals {
   std::uint64_t id = 0;
   std::uint32_t round = 1;
   std::string from_shard;
@@ -161,7 +161,7 @@
   std::string zone;
   bool spot = false;
   std::string image;
-  Quota spare;  ///< share that the initiator can hand over with the tasks
+  Quota spare_quota;  ///< share that the initiator can hand over with the tasks
   bool disclosed = false;
   Priority priority = Priority::normal;  ///< disclosed from the second round on
   Micros deadline_in{0};                 ///< disclosed; 0: none
@@ -173,19 +173,19 @@
   std::uint32_t tasks = 0;  ///< 0: refusal
   Micros start_delay{0};
   std::uint32_t load_permille = 0;
-  std::uint64_t room_revision = 0;
-  Quota free_share;
+  std::uint64_t quota_revision = 0;
+  Quota free_quota_share;
 };
 /// Hints: the receiver reads the state service afresh, and believes nothing else.
-struct Awarded {
+struct AwardNotice {
   std::string shard;
 };
 /// The last write of a job is made: nothing of it may run, wherever it was awarded to. Said to every
 /// controller, as parts change hands. This alone is acted on without a read: it can only stop what is over.
-struct Ended {
+struct JobEndNotice {
   std::string job;
 };
-struct Progress {
+struct ProgressNotice {
   std::string shard;  ///< the part that owns the jobs
 };
 struct FailbackRequest {
@@ -212,7 +212,7 @@
   std::vector<UnreachableMachine> unreachable;
 };
 /// Asks the holder of `from` to hand unused share of a team's limit to the part `to`.
-struct Lend {
+struct QuotaTransferRequest {
   std::string from;
   std::string to;
   std::string team;
@@ -220,13 +220,14 @@
   Micros waits_since{0};  ///< wall clock: when the job that needs it was accepted
 };
 /// The cloud has no more machines of this kind for now.
-struct Scarce {
+struct CapacityExhausted {
   std::string type;
   std::string zone;
   bool spot = false;
 };
-using PeerMessage = std::variant<JobQuery, JobReply, Call, Proposal, Awarded, Progress, FailbackRequest, Lend,
-                                 Scarce, PeerHealth, LeaseTransfer, Ended>;
+using PeerMessage =
+    std::variant<JobQuery, JobReply, CallForProposals, Proposal, AwardNotice, ProgressNotice, FailbackRequest,
+                 QuotaTransferRequest, CapacityExhausted, PeerHealth, LeaseTransfer, JobEndNotice>;
 
 // ---- actions -------------------------------------------------------------------------------------
 enum class LogLevel : std::uint8_t { error, info, debug };
--- a/src/core/contract.cpp
+++ b/src/core/contract.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr Micros kAnswerWithin = millis(300);  ///< a silent peer is a refusal
+constexpr Micros kProposalTimeout = millis(300);  ///< a silent peer is a refusal
 constexpr Micros kReadEvery = seconds(2);
 constexpr std::size_t kTasksPerAward = 4096;
 constexpr std::size_t kCallsPerTick = 2;
@@ -46,7 +46,7 @@
   if (!state_.lease_valid()) return;
   for (auto& [name, shard] : state_.shards) {
     if (!shard.ready()) continue;
-    if (shard.room_stale && !shard.room_busy) read_room(shard);
+    if (shard.quota_stale && !shard.quota_write_in_flight) read_quota_allocation(shard);
     if (now >= shard.next_awards) read_awards(shard);
     const bool awarded = std::any_of(shard.jobs.begin(), shard.jobs.end(), [](const auto& j) {
       return !j.second.awards.empty() && j.second.owner.empty();
@@ -89,18 +89,19 @@
   // at a time, as every call costs each peer a look. In the queue's order alone, the first few jobs would
   // call again and again, and no machine would ever be rented for the others.
   std::vector<Job*> due;
-  for (const Ranked& ranked : shard.queue)
-    if (ranked.job->overflow > 0 && now >= ranked.job->next_call && ranked.job->offered == 0)
-      due.push_back(ranked.job);
+  for (const QueueEntry& queue_entry : shard.queue)
+    if (queue_entry.job->overflow > 0 && now >= queue_entry.job->next_call &&
+        queue_entry.job->tasks_in_award == 0)
+      due.push_back(queue_entry.job);
   std::stable_sort(due.begin(), due.end(),
                    [](const Job* a, const Job* b) { return a->next_call < b->next_call; });
   std::size_t calls = 0;
   for (Job* next : due) {
     Job& job = *next;
     const std::string& id = job.spec.id;
-    if (calls >= kCallsPerTick || open_.size() >= kOpen) return;
+    if (calls >= kCallsPerTick || open_.size() >= kOpenNegotiations) return;
     // What can't be awarded may still lack share, which peers can hand over.
-    if (!may_be_awarded(job) && !job.short_of_share) {
+    if (!may_be_awarded(job) && !job.quota_share_exhausted) {
       job.refused = true;
       continue;
     }
@@ -108,7 +109,7 @@
     Negotiation n;
     n.shard = shard.name;
     n.leadership_term = shard.leadership_term;
-    Call& c = n.call;
+    CallForProposals& c = n.call;
     c.id = next_id_++;
     c.from_shard = shard.name;
     c.job = id;
@@ -119,8 +120,9 @@
     c.zone = job.spec.zone.value_or("");
     c.spot = job.spec.spot;
     c.image = job.spec.image;
-    c.spare = shard.free_share(job.spec.team);
-    c.spare = {std::max<std::int64_t>(0, c.spare.cpu), std::max<std::int64_t>(0, c.spare.gpu)};
+    c.spare_quota = shard.free_quota_share(job.spec.team);
+    c.spare_quota = {std::max<std::int64_t>(0, c.spare_quota.cpu),
+                     std::max<std::int64_t>(0, c.spare_quota.gpu)};
     for (const auto& [name, route] : state_.routes)
       if (name != shard.name && state_.reachable(route.host)) n.asked.insert(name);
     if (n.asked.empty()) {
@@ -140,9 +142,9 @@
 void ContractNet::ask(Negotiation& n) {
   ++counters_.rounds;
   n.proposals.clear();
-  n.until = state_.now() + kAnswerWithin;
+  n.until = state_.now() + kProposalTimeout;
   for (const std::string& shard : n.asked) {
-    Call call = n.call;
+    CallForProposals call = n.call;
     send(shard, std::move(call));
   }
 }
@@ -173,7 +175,7 @@
   // Hard limits: some tasks, and a room version to hold the award against.
   std::vector<Proposal> feasible;
   for (const auto& [name, p] : n.proposals)
-    if (may_be_awarded(job) && p.tasks > 0 && p.tasks <= n.call.tasks && p.room_revision != 0)
+    if (may_be_awarded(job) && p.tasks > 0 && p.tasks <= n.call.tasks && p.quota_revision != 0)
       feasible.push_back(p);
   std::sort(feasible.begin(), feasible.end(), [&](const Proposal& a, const Proposal& b) {
     return std::pair(score(a), a.shard) < std::pair(score(b), b.shard);
@@ -181,8 +183,8 @@
   if (feasible.empty()) {
     ++counters_.infeasible;
     job.refused = true;
-    if (!job.short_of_share) return refuse_alike(*shard, job);
-    ask_for_share(*shard, job, n);
+    if (!job.quota_share_exhausted) return mark_similar_refused(*shard, job);
+    request_quota(*shard, job, n);
     return;
   }
   const bool close =
@@ -203,28 +205,29 @@
 
 /// Nobody has room under its own share; unused share may still be had, piece by piece: what each part has
 /// left may be less than one task takes.
-void ContractNet::ask_for_share(Shard& shard, const Job& job, const Negotiation& n) {
+void ContractNet::request_quota(Shard& shard, const Job& job, const Negotiation& n) {
   std::vector<const Proposal*> rich;
   for (const auto& [name, p] : n.proposals)
-    if (p.free_share != Quota{}) rich.push_back(&p);
+    if (p.free_quota_share != Quota{}) rich.push_back(&p);
   std::sort(rich.begin(), rich.end(),
-            [](const Proposal* a, const Proposal* b) { return a->free_share > b->free_share; });
+            [](const Proposal* a, const Proposal* b) { return a->free_quota_share > b->free_quota_share; });
   const Quota want = quota_of(job.spec.each) * static_cast<std::int64_t>(job.waiting.size());
-  Quota had = shard.free_share(job.spec.team);
+  Quota had = shard.free_quota_share(job.spec.team);
   for (const Proposal* p : rich) {
     if (want.fits_in(had)) return;
-    send(p->shard, Lend{p->shard, shard.name, job.spec.team, want - had, job.accepted});
-    had += p->free_share;
+    send(p->shard, QuotaTransferRequest{p->shard, shard.name, job.spec.team, want - had, job.accepted});
+    had += p->free_quota_share;
   }
 }
 
 /// Who had no room for one task of this job has none for its like either: these need not call one by one.
-void ContractNet::refuse_alike(Shard& shard, const Job& refused) {
+void ContractNet::mark_similar_refused(Shard& shard, const Job& refused) {
   const JobSpec& r = refused.spec;
-  for (const Ranked& ranked : shard.queue) {
-    Job& job = *ranked.job;
+  for (const QueueEntry& queue_entry : shard.queue) {
+    Job& job = *queue_entry.job;
     const JobSpec& s = job.spec;
-    if (&job == &refused || job.overflow == 0 || job.offered > 0 || job.short_of_share) continue;
+    if (&job == &refused || job.overflow == 0 || job.tasks_in_award > 0 || job.quota_share_exhausted)
+      continue;
     if (s.team != r.team || s.priority > r.priority || s.spot != r.spot || s.zone != r.zone ||
         s.types != r.types || !r.each.fits_in(s.each))
       continue;
@@ -234,19 +237,19 @@
 }
 
 void ContractNet::award(Shard& shard, Job& job, const Proposal& best) {
-  if (shard.room_busy || shard.room_stale || shard.room_revision == 0) return;
+  if (shard.quota_write_in_flight || shard.quota_stale || shard.quota_revision == 0) return;
   const Quota each = quota_of(job.spec.each);
-  Quota spare = shard.free_share(job.spec.team);
-  spare = {std::max<std::int64_t>(0, spare.cpu), std::max<std::int64_t>(0, spare.gpu)};
+  Quota spare_quota = shard.free_quota_share(job.spec.team);
+  spare_quota = {std::max<std::int64_t>(0, spare_quota.cpu), std::max<std::int64_t>(0, spare_quota.gpu)};
   std::int64_t count = std::min<std::int64_t>({best.tasks, static_cast<std::int64_t>(job.waiting.size()),
                                                static_cast<std::int64_t>(kTasksPerAward),
-                                               (best.free_share + spare).holds(each)});
+                                               (best.free_quota_share + spare_quota).holds(each)});
   if (count <= 0) return;
   job.refused = false;
-  Quota moved = each * count - best.free_share;
+  Quota moved = each * count - best.free_quota_share;
   moved = {std::max<std::int64_t>(0, moved.cpu), std::max<std::int64_t>(0, moved.gpu)};
 
-  Move move;
+  QuotaMove move;
   move.shard = shard.name;
   move.leadership_term = shard.leadership_term;
   move.to = best.shard;
@@ -268,42 +271,43 @@
     }
     ranges.pop_back();
   }
-  job.offered += static_cast<std::uint32_t>(move.tasks.size());
+  job.tasks_in_award += static_cast<std::uint32_t>(move.tasks.size());
   const records::Award record{shard.name, std::move(ranges), {shard.name, job.spec, job.accepted}};
-  commit_move(shard, move, Write{move.key, records::to_json(record), 0}, best.room_revision);
+  commit_quota_move(shard, move, Write{move.key, records::to_json(record), 0}, best.quota_revision);
 }
 
-void ContractNet::commit_move(Shard& shard, const Move& move, const std::optional<Write>& award,
-                              std::uint64_t other_revision) {
-  shard.room_busy = true;
-  shard.lending[move.team] += move.moved;
+void ContractNet::commit_quota_move(Shard& shard, const QuotaMove& move, const std::optional<Write>& award,
+                                    std::uint64_t other_revision) {
+  shard.quota_write_in_flight = true;
+  shard.quota_in_transfer[move.team] += move.moved;
   const Compare holds = state_.fenced_by(shard);
-  state_.store.get(records::room_key(move.to),
+  state_.store.get(records::quota_key(move.to),
                    [this, move, award, other_revision, holds](const StoreResponse& a) {
                      Shard* p = state_.shard_in_term(move.shard, move.leadership_term);
                      if (p == nullptr) return;
-                     std::optional<records::Room> other;
-                     if (a.ok() && !a.entries.empty()) other = records::room(a.entries.front().value);
+                     std::optional<records::QuotaAllocation> other;
+                     if (a.ok() && !a.entries.empty())
+                       other = records::quota_allocation(a.entries.front().value);
                      // The room offered is the room of that version; any other has been awarded to somebody
                      // meanwhile.
                      if (!other || (other_revision != 0 && a.entries.front().revision != other_revision)) {
                        ++counters_.conflicts;
                        // Its holder may not know: the word of an award to it can be lost.
-                       if (other) send(move.to, Awarded{move.to});
-                       return settle_move(move, false);
+                       if (other) send(move.to, AwardNotice{move.to});
+                       return finish_quota_move(move, false);
                      }
-                     other->shares[move.team] += move.moved;
-                     records::Room own{p->shares};
-                     own.shares[move.team] -= move.moved;
+                     other->quota_shares[move.team] += move.moved;
+                     records::QuotaAllocation own{p->quota_shares};
+                     own.quota_shares[move.team] -= move.moved;
                      Transaction transaction;
                      transaction.compares = {holds,
-                                             {records::room_key(p->name), p->room_revision},
-                                             {records::room_key(move.to), a.entries.front().revision}};
-                     transaction.writes = {{records::room_key(p->name), records::to_json(own), 0},
-                                           {records::room_key(move.to), records::to_json(*other), 0}};
+                                             {records::quota_key(p->name), p->quota_revision},
+                                             {records::quota_key(move.to), a.entries.front().revision}};
+                     transaction.writes = {{records::quota_key(p->name), records::to_json(own), 0},
+                                           {records::quota_key(move.to), records::to_json(*other), 0}};
                      if (award) {
                        // Nothing of a job that is over is awarded, whatever its owner believes.
-                       transaction.compares.push_back({records::job_key(move.job), 0});
+                       transaction.compares.push_back({records::final_job_key(move.job), 0});
                        transaction.compares.push_back({move.key, 0});
                        transaction.writes.push_back(*award);
                      }
@@ -311,33 +315,33 @@
                        Shard* q = state_.shard_in_term(move.shard, move.leadership_term);
                        if (q == nullptr) return;
                        if (b.ok()) {
-                         q->room_revision = b.revision;
-                         settle_move(move, true);
+                         q->quota_revision = b.revision;
+                         finish_quota_move(move, true);
                        } else if (b.outcome == Outcome::unknown) {
-                         find_out(*q, move);
+                         resolve_unknown_move(*q, move);
                        } else {
                          if (b.outcome == Outcome::conflict) {
                            ++counters_.conflicts;
-                           q->room_stale = true;
+                           q->quota_stale = true;
                            hooks_.invalidate_leases();
                          }
-                         settle_move(move, false);
+                         finish_quota_move(move, false);
                        }
                      });
                    });
 }
 
-void ContractNet::settle_move(const Move& move, bool applied) {
+void ContractNet::finish_quota_move(const QuotaMove& move, bool applied) {
   Shard* p = state_.shard_in_term(move.shard, move.leadership_term);
   if (p == nullptr) return;
-  p->room_busy = false;
-  p->lending[move.team] -= move.moved;
-  if (applied) p->shares[move.team] -= move.moved;
+  p->quota_write_in_flight = false;
+  p->quota_in_transfer[move.team] -= move.moved;
+  if (applied) p->quota_shares[move.team] -= move.moved;
   p->changed();
   auto it = p->jobs.find(move.job);
   if (it != p->jobs.end()) {
     Job& job = it->second;
-    job.offered -= static_cast<std::uint32_t>(move.tasks.size());
+    job.tasks_in_award -= static_cast<std::uint32_t>(move.tasks.size());
     if (applied) {
       job.awards[move.key] = move.to;
       job.next_call = state_.now();
@@ -351,133 +355,138 @@
     state_.context.info("awarded " + std::to_string(move.tasks.size()) + " tasks of " + move.job +
                         " to part " + move.to);
   } else {
-    ++counters_.shares_moved;
+    ++counters_.quota_transfers;
   }
-  send(move.to, Awarded{move.to});
+  send(move.to, AwardNotice{move.to});
 }
 
-void ContractNet::find_out(Shard& shard, const Move& move) {
+void ContractNet::resolve_unknown_move(Shard& shard, const QuotaMove& move) {
   // No answer: the write may have been made, or be made later. It compares our room record, so rewriting
   // that record makes sure that it is made now or never.
-  state_.store.get(records::room_key(shard.name), [this, move](const StoreResponse& a) {
+  state_.store.get(records::quota_key(shard.name), [this, move](const StoreResponse& a) {
     Shard* p = state_.shard_in_term(move.shard, move.leadership_term);
     if (p == nullptr) return;
-    auto room = a.ok() && !a.entries.empty() ? records::room(a.entries.front().value) : std::nullopt;
-    if (!room) return find_out_later(move);
+    auto quota_allocation =
+        a.ok() && !a.entries.empty() ? records::quota_allocation(a.entries.front().value) : std::nullopt;
+    if (!quota_allocation) return resolve_unknown_move_later(move);
     Transaction transaction;
-    transaction.compares = {state_.fenced_by(*p), {records::room_key(p->name), a.entries.front().revision}};
-    transaction.writes = {{records::room_key(p->name), records::to_json(*room), 0}};
-    state_.store.commit(std::move(transaction), [this, move, shares = room->shares](const StoreResponse& b) {
-      Shard* q = state_.shard_in_term(move.shard, move.leadership_term);
-      if (q == nullptr) return;
-      if (!b.ok()) {
-        hooks_.invalidate_leases();
-        return find_out_later(move);
-      }
-      q->room_revision = b.revision;
-      auto conclude = [this, move, shares](bool applied) {
-        Shard* r = state_.shard_in_term(move.shard, move.leadership_term);
-        if (r == nullptr) return;
-        settle_move(move, applied);
-        r->shares = shares;
-        r->changed();
-        r->room_stale = true;
-      };
-      if (move.key.empty()) {
-        // Only share was moved: the record just read tells, whichever it was.
-        conclude(false);
-        return;
-      }
-      state_.store.get(move.key, [this, move, conclude](const StoreResponse& c) {
-        if (c.ok() || c.outcome == Outcome::absent) return conclude(c.ok());
-        find_out_later(move);
-      });
-    });
+    transaction.compares = {state_.fenced_by(*p), {records::quota_key(p->name), a.entries.front().revision}};
+    transaction.writes = {{records::quota_key(p->name), records::to_json(*quota_allocation), 0}};
+    state_.store.commit(std::move(transaction),
+                        [this, move, quota_shares = quota_allocation->quota_shares](const StoreResponse& b) {
+                          Shard* q = state_.shard_in_term(move.shard, move.leadership_term);
+                          if (q == nullptr) return;
+                          if (!b.ok()) {
+                            hooks_.invalidate_leases();
+                            return resolve_unknown_move_later(move);
+                          }
+                          q->quota_revision = b.revision;
+                          auto conclude = [this, move, quota_shares](bool applied) {
+                            Shard* r = state_.shard_in_term(move.shard, move.leadership_term);
+                            if (r == nullptr) return;
+                            finish_quota_move(move, applied);
+                            r->quota_shares = quota_shares;
+                            r->changed();
+                            r->quota_stale = true;
+                          };
+                          if (move.key.empty()) {
+                            // Only share was moved: the record just read tells, whichever it was.
+                            conclude(false);
+                            return;
+                          }
+                          state_.store.get(move.key, [this, move, conclude](const StoreResponse& c) {
+                            if (c.ok() || c.outcome == Outcome::absent) return conclude(c.ok());
+                            resolve_unknown_move_later(move);
+                          });
+                        });
   });
 }
 
-void ContractNet::find_out_later(const Move& move) {
+void ContractNet::resolve_unknown_move_later(const QuotaMove& move) {
   state_.context.later(millis(300), [this, move] {
-    if (Shard* p = state_.shard_in_term(move.shard, move.leadership_term)) find_out(*p, move);
+    if (Shard* p = state_.shard_in_term(move.shard, move.leadership_term)) resolve_unknown_move(*p, move);
   });
 }
 
-void ContractNet::on_lend(const Lend& lend) {
-  Shard* shard = state_.ready_shard(lend.from);
-  if (shard == nullptr || lend.to == lend.from || !state_.routes.contains(lend.to)) return;
-  if (shard->room_busy || shard->room_stale || shard->room_revision == 0 ||
-      !shard->shares.contains(lend.team))
+void ContractNet::on_quota_transfer_request(const QuotaTransferRequest& transfer) {
+  Shard* shard = state_.ready_shard(transfer.from);
+  if (shard == nullptr || transfer.to == transfer.from || !state_.routes.contains(transfer.to)) return;
+  if (shard->quota_write_in_flight || shard->quota_stale || shard->quota_revision == 0 ||
+      !shard->quota_shares.contains(transfer.team))
     return;
-  const Quota unused = shard->free_share(lend.team);
+  const Quota unused = shard->free_quota_share(transfer.team);
   Quota free = unused;
   for (const auto& [id, job] : shard->jobs) {
-    if (job.spec.team != lend.team || job.ended || job.waiting.empty()) continue;
+    if (job.spec.team != transfer.team || job.ended || job.waiting.empty()) continue;
     const Quota each = quota_of(job.spec.each);
     // A job that no machine can be had for does not hold on to share that others can use. Nor does one that
     // can't start with what is left here: pieces go to the job that waits longest, or two parts would each
     // keep one for ever.
-    if (job.unrentable || (lend.waits_since < job.accepted && unused.holds(each) == 0)) continue;
+    if (job.unrentable || (transfer.waits_since < job.accepted && unused.holds(each) == 0)) continue;
     free -= each * (job.suspect() ? 1 : static_cast<std::int64_t>(job.waiting.size()));
   }
-  Move move;
+  QuotaMove move;
   move.shard = shard->name;
   move.leadership_term = shard->leadership_term;
-  move.to = lend.to;
-  move.team = lend.team;
-  move.moved = {std::clamp<std::int64_t>(free.cpu, 0, std::max<std::int64_t>(0, lend.want.cpu)),
-                std::clamp<std::int64_t>(free.gpu, 0, std::max<std::int64_t>(0, lend.want.gpu))};
+  move.to = transfer.to;
+  move.team = transfer.team;
+  move.moved = {std::clamp<std::int64_t>(free.cpu, 0, std::max<std::int64_t>(0, transfer.want.cpu)),
+                std::clamp<std::int64_t>(free.gpu, 0, std::max<std::int64_t>(0, transfer.want.gpu))};
   if (move.moved == Quota{}) return;
-  commit_move(*shard, move, std::nullopt, 0);
+  commit_quota_move(*shard, move, std::nullopt, 0);
 }
 
 // ---- the responder -------------------------------------------------------------------------------
 
-void ContractNet::on_call(const Call& call) {
+void ContractNet::on_call(const CallForProposals& call) {
   for (auto& [name, shard] : state_.shards) {
     if (name == call.from_shard || !state_.lease_valid()) continue;
     Proposal p;
     p.id = call.id;
     p.round = call.round;
     p.shard = name;
-    if (shard.ready() && !shard.room_stale && !shard.room_busy && shard.shares.contains(call.team)) {
+    if (shard.ready() && !shard.quota_stale && !shard.quota_write_in_flight &&
+        shard.quota_shares.contains(call.team)) {
       scheduler_.pass(shard);
       const Scheduler::Offer offer = scheduler_.offer(shard, call);
       std::int64_t size = 1, used = 0;
       for (const auto& [machine, m] : shard.machines) size += m.size.cpu, used += m.used.cpu;
-      const Quota free = shard.free_share(call.team);
-      p.free_share = {std::max<std::int64_t>(0, free.cpu), std::max<std::int64_t>(0, free.gpu)};
+      const Quota free = shard.free_quota_share(call.team);
+      p.free_quota_share = {std::max<std::int64_t>(0, free.cpu), std::max<std::int64_t>(0, free.gpu)};
       p.tasks = offer.tasks;
       p.start_delay = offer.delay;
       p.load_permille = static_cast<std::uint32_t>(std::clamp<std::int64_t>(used * 1000 / size, 0, 1000));
-      p.room_revision = shard.room_revision;
+      p.quota_revision = shard.quota_revision;
     }
     state_.context.act(PeerSend{state_.leader_of(call.from_shard), p});
   }
 }
 
-void ContractNet::on_awarded(const std::string& name) {
+void ContractNet::on_award_notice(const std::string& name) {
   Shard* shard = state_.ready_shard(name);
   if (shard == nullptr) return;
   shard->next_awards = Micros{0};
-  shard->room_stale = true;
+  shard->quota_stale = true;
 }
 
-void ContractNet::on_ended(const Ended& ended) { state_.record_job_end(ended.job, std::nullopt); }
+void ContractNet::on_job_end_notice(const JobEndNotice& ended) {
+  state_.record_job_end(ended.job, std::nullopt);
+}
 
-void ContractNet::read_room(Shard& shard) {
-  shard.room_busy = true;
+void ContractNet::read_quota_allocation(Shard& shard) {
+  shard.quota_write_in_flight = true;
   state_.store.get(
-      records::room_key(shard.name),
+      records::quota_key(shard.name),
       [this, name = shard.name, leadership_term = shard.leadership_term](const StoreResponse& a) {
         Shard* p = state_.shard_in_term(name, leadership_term);
         if (p == nullptr) return;
-        p->room_busy = false;
+        p->quota_write_in_flight = false;
         if (!a.ok() || a.entries.empty()) return;
-        auto room = records::room(a.entries.front().value);
-        if (!room || a.entries.front().revision < p->room_revision) return;
-        p->shares = room->shares;
-        p->room_revision = a.entries.front().revision;
-        p->room_stale = false;
+        auto quota_allocation = records::quota_allocation(a.entries.front().value);
+        if (!quota_allocation || a.entries.front().revision < p->quota_revision) return;
+        p->quota_shares = quota_allocation->quota_shares;
+        p->quota_revision = a.entries.front().revision;
+        p->quota_stale = false;
         p->changed();
       });
 }
@@ -549,7 +558,7 @@
 
 // ---- what became of awarded tasks ----------------------------------------------------------------
 
-void ContractNet::on_progress(const std::string& name) {
+void ContractNet::on_progress_notice(const std::string& name) {
   if (Shard* shard = state_.ready_shard(name))
     shard->next_progress = std::min(shard->next_progress, state_.now() + millis(150));
 }
--- a/src/core/contract.h
+++ b/src/core/contract.h
@@ -16,12 +16,12 @@
   ContractNet(ControllerState& state, Scheduler& scheduler, Hooks hooks);
 
   void tick();
-  void on_call(const Call& call);
+  void on_call(const CallForProposals& call);
   void on_proposal(const Proposal& proposal);
-  void on_lend(const Lend& lend);
-  void on_awarded(const std::string& shard);
-  void on_ended(const Ended& ended);
-  void on_progress(const std::string& shard);
+  void on_quota_transfer_request(const QuotaTransferRequest& transfer);
+  void on_award_notice(const std::string& shard);
+  void on_job_end_notice(const JobEndNotice& ended);
+  void on_progress_notice(const std::string& shard);
   /// Awarded tasks go once we can't tell any more whether they still are ours: their job may be cancelled. To
   /// be called before each answer to a worker, which renews its lease: no renewal without the stop.
   void stop_stale_awards(Shard& shard, Machine& m);
@@ -32,7 +32,7 @@
   void load_progress(Shard& shard, const std::vector<KeyValue>& entries, bool own_too);
 
   struct Counters {
-    std::uint64_t calls = 0, rounds = 0, awards = 0, conflicts = 0, infeasible = 0, shares_moved = 0;
+    std::uint64_t calls = 0, rounds = 0, awards = 0, conflicts = 0, infeasible = 0, quota_transfers = 0;
   };
   const Counters& counters() const { return counters_; }
   std::size_t open() const { return open_.size(); }
@@ -41,7 +41,7 @@
   struct Negotiation {
     std::string shard;
     std::uint64_t leadership_term;
-    Call call;
+    CallForProposals call;
     std::set<std::string> asked;
     std::map<std::string, Proposal> proposals;
     Micros until{0};
@@ -51,11 +51,11 @@
   bool may_be_awarded(const Job& job) const;
   void ask(Negotiation& n);
   void decide(std::uint64_t id);
-  void ask_for_share(Shard& shard, const Job& job, const Negotiation& n);
-  void refuse_alike(Shard& shard, const Job& refused);
+  void request_quota(Shard& shard, const Job& job, const Negotiation& n);
+  void mark_similar_refused(Shard& shard, const Job& refused);
   void award(Shard& shard, Job& job, const Proposal& best);
   /// A write that moves share out of a part's room and perhaps an award with it.
-  struct Move {
+  struct QuotaMove {
     std::string shard;
     std::uint64_t leadership_term = 0;
     std::string to;
@@ -65,18 +65,18 @@
     std::string key;
     std::vector<std::uint32_t> tasks;
   };
-  void commit_move(Shard& shard, const Move& move, const std::optional<Write>& award,
-                   std::uint64_t room_revision_of_other);
-  void settle_move(const Move& move, bool applied);
-  void find_out(Shard& shard, const Move& move);
-  void find_out_later(const Move& move);
-  void read_room(Shard& shard);
+  void commit_quota_move(Shard& shard, const QuotaMove& move, const std::optional<Write>& award,
+                         std::uint64_t quota_revision_of_other);
+  void finish_quota_move(const QuotaMove& move, bool applied);
+  void resolve_unknown_move(Shard& shard, const QuotaMove& move);
+  void resolve_unknown_move_later(const QuotaMove& move);
+  void read_quota_allocation(Shard& shard);
   void read_awards(Shard& shard);
   void read_progress(Shard& shard);
   void send(const std::string& shard, PeerMessage message);
   double score(const Proposal& p) const;
 
-  static constexpr std::size_t kOpen = 16;
+  static constexpr std::size_t kOpenNegotiations = 16;
 
   ControllerState& state_;
   Scheduler& scheduler_;
--- a/src/core/controller.cpp
+++ b/src/core/controller.cpp
@@ -24,7 +24,7 @@
       scheduler_(state_, fleet_),
       net_(state_, scheduler_, {[this] { shard_leases_.invalidate(); }}),
       jobs_(state_, {[this](Shard& p) { schedule(p); }, [this] { shard_leases_.invalidate(); }}),
-      renter_(state_, fleet_),
+      autoscaler_(state_, fleet_),
       shard_leases_(
           state_, fleet_, [this](Shard& p) { load(p); },
           [this](const std::string& shard) { fleet_.on_shard_lost(shard); }) {}
@@ -56,7 +56,7 @@
         if (shard.ready()) schedule(shard);
     jobs_.tick();
     net_.tick();
-    renter_.tick();
+    autoscaler_.tick();
   }
 }
 
@@ -98,16 +98,16 @@
     const std::string& host;
     void operator()(const JobQuery& m) { c.jobs_.on_query(host, m); }
     void operator()(const JobReply& m) { c.jobs_.on_reply(m); }
-    void operator()(const Call& m) { c.net_.on_call(m); }
+    void operator()(const CallForProposals& m) { c.net_.on_call(m); }
     void operator()(const Proposal& m) { c.net_.on_proposal(m); }
-    void operator()(const Awarded& m) { c.net_.on_awarded(m.shard); }
-    void operator()(const Ended& m) { c.net_.on_ended(m); }
-    void operator()(const Progress& m) { c.net_.on_progress(m.shard); }
+    void operator()(const AwardNotice& m) { c.net_.on_award_notice(m.shard); }
+    void operator()(const JobEndNotice& m) { c.net_.on_job_end_notice(m); }
+    void operator()(const ProgressNotice& m) { c.net_.on_progress_notice(m.shard); }
     void operator()(const FailbackRequest& m) {
       if (m.shard == host) c.shard_leases_.fail_back(m.shard);
     }
-    void operator()(const Lend& m) { c.net_.on_lend(m); }
-    void operator()(const Scarce& m) { c.renter_.on_scarce(m); }
+    void operator()(const QuotaTransferRequest& m) { c.net_.on_quota_transfer_request(m); }
+    void operator()(const CapacityExhausted& m) { c.autoscaler_.on_capacity_exhausted(m); }
     void operator()(const PeerHealth& m) { c.shard_leases_.on_peer_health(host, m); }
     void operator()(const LeaseTransfer& m) { c.shard_leases_.on_lease_transfer(m); }
   };
@@ -230,47 +230,47 @@
   net_.load_progress(shard, done, true);
   fleet_.restore_unreachable_machines(shard);
   shard.awards_read(shard.acquired_at, context_.settings.lease_term());
-  make_room_record(shard);
+  load_quota_allocation(shard);
 }
 
-void Controller::make_room_record(Shard& shard) {
+void Controller::load_quota_allocation(Shard& shard) {
   auto again = [this, name = shard.name, leadership_term = shard.leadership_term] {
     context_.later(millis(300), [this, name, leadership_term] {
-      if (Shard* p = state_.shard_in_term(name, leadership_term)) make_room_record(*p);
+      if (Shard* p = state_.shard_in_term(name, leadership_term)) load_quota_allocation(*p);
     });
   };
-  state_.store.get(records::room_key(shard.name), [this, again, name = shard.name,
-                                                   leadership_term =
-                                                       shard.leadership_term](const StoreResponse& a) {
+  state_.store.get(records::quota_key(shard.name), [this, again, name = shard.name,
+                                                    leadership_term =
+                                                        shard.leadership_term](const StoreResponse& a) {
     Shard* p = state_.shard_in_term(name, leadership_term);
     if (p == nullptr) return;
     if (a.ok() && !a.entries.empty()) {
-      auto room = records::room(a.entries.front().value);
-      if (!room) return again();
-      p->shares = room->shares;
-      p->room_revision = a.entries.front().revision;
+      auto quota_allocation = records::quota_allocation(a.entries.front().value);
+      if (!quota_allocation) return again();
+      p->quota_shares = quota_allocation->quota_shares;
+      p->quota_revision = a.entries.front().revision;
       p->stage = Shard::Stage::ready;
       context_.info("part " + name + " is ready: " + std::to_string(p->jobs.size()) + " jobs, " +
                     std::to_string(p->machines.size()) + " machines");
       fleet_.on_shard_ready(*p);
-      renter_.on_shard_ready(*p);
+      autoscaler_.on_shard_ready(*p);
       return;
     }
     if (a.outcome != Outcome::absent) return again();
     // The first holder ever: an equal share of every limit, the first part with what is left over, so
     // that they sum to the limit.
-    records::Room room;
+    records::QuotaAllocation quota_allocation;
     const auto shards = static_cast<std::int64_t>(context_.settings.controllers());
     const bool first = name == state_.routes.begin()->first;
     auto share = [&](std::int64_t limit) { return limit / shards + (first ? limit % shards : 0); };
     for (const Team& team : context_.settings.teams)
-      room.shares[team.name] = {share(team.limit.cpu), share(team.limit.gpu)};
+      quota_allocation.quota_shares[team.name] = {share(team.limit.cpu), share(team.limit.gpu)};
     Transaction transaction;
-    transaction.compares = {state_.fenced_by(*p), {records::room_key(name), 0}};
-    transaction.writes = {{records::room_key(name), records::to_json(room), 0}};
+    transaction.compares = {state_.fenced_by(*p), {records::quota_key(name), 0}};
+    transaction.writes = {{records::quota_key(name), records::to_json(quota_allocation), 0}};
     state_.store.commit(std::move(transaction), [this, again, name, leadership_term](const StoreResponse& b) {
       Shard* q = state_.shard_in_term(name, leadership_term);
-      b.ok() && q != nullptr ? make_room_record(*q) : again();
+      b.ok() && q != nullptr ? load_quota_allocation(*q) : again();
     });
   });
 }
--- a/src/core/controller.h
+++ b/src/core/controller.h
@@ -31,7 +31,9 @@
   void on_store_response(std::uint64_t call, const StoreResponse& answer) {
     state_.store.on_answer(call, answer);
   }
-  void on_cloud(std::uint64_t call, const CloudAnswer& answer) { renter_.on_answer(call, answer); }
+  void on_cloud_response(std::uint64_t call, const CloudResponse& answer) {
+    autoscaler_.on_answer(call, answer);
+  }
   void on_command_response(std::uint64_t call, const CommandResponse& answer) {
     fleet_.on_command_response(call, answer);
   }
@@ -56,7 +58,7 @@
   void loaded(Shard& shard, Micros asked, const std::vector<KeyValue>& live,
               const std::vector<KeyValue>& owned_machines, const std::vector<KeyValue>& awards,
               const std::vector<KeyValue>& done);
-  void make_room_record(Shard& shard);
+  void load_quota_allocation(Shard& shard);
   void read_policy();
   void change_policy(std::uint64_t request, const Value& fields);
   void schedule(Shard& shard);
@@ -67,7 +69,7 @@
   Scheduler scheduler_;
   ContractNet net_;
   Jobs jobs_;
-  Renter renter_;
+  Autoscaler autoscaler_;
   ShardLeases shard_leases_;
   Micros next_policy_{0};
   Micros next_scheduling_{0};
--- a/src/core/jobs_ending.cpp
+++ b/src/core/jobs_ending.cpp
@@ -19,7 +19,7 @@
     return respond(known_reply(id, {state->phase, state->done, 0}));
   auto cancel_here = [this, id, respond](Shard& shard, Job& job) {
     // An award under way would outlive the cancellation, whose write removes only those it knows of.
-    if (job.finalizing || job.ended || job.offered > 0) return respond(unavailable(id));
+    if (job.finalizing || job.ended || job.tasks_in_award > 0) return respond(unavailable(id));
     finalize(shard, job, JobPhase::cancelled, respond);
   };
   if (state_.lease_valid())
@@ -69,11 +69,11 @@
   Shard* shard = state_.shard_in_term(write.shard, write.leadership_term);
   if (shard == nullptr || !shard->jobs.contains(write.job)) return respond(unavailable(write.job));
   Job& job = shard->jobs.at(write.job);
-  const records::JobEntry entry{write.phase, static_cast<std::uint32_t>(job.tasks.size())};
+  const records::FinalJob entry{write.phase, static_cast<std::uint32_t>(job.tasks.size())};
   Transaction transaction;
   // A final state is written once, and never over another, whatever this controller believes.
-  transaction.compares = {state_.fenced_by(*shard), {records::job_key(write.job), 0}};
-  transaction.writes = {{records::job_key(write.job), records::to_json(entry), 0},
+  transaction.compares = {state_.fenced_by(*shard), {records::final_job_key(write.job), 0}};
+  transaction.writes = {{records::final_job_key(write.job), records::to_json(entry), 0},
                         {records::live_key(write.job), std::nullopt, 0}};
   // The awards go in the same write: the winners stop as soon as they miss them.
   for (const auto& [key, winner] : job.awards) transaction.writes.push_back({key, std::nullopt, 0});
@@ -90,7 +90,7 @@
   if (a.outcome == Outcome::conflict) {
     hooks_.invalidate_leases();
     const bool is_final_already =
-        std::find(a.failed.begin(), a.failed.end(), records::job_key(write.job)) != a.failed.end();
+        std::find(a.failed.begin(), a.failed.end(), records::final_job_key(write.job)) != a.failed.end();
     if (is_final_already) return read_final(write, respond);
   }
   respond(unavailable(write.job));
@@ -105,9 +105,9 @@
 }
 
 void Jobs::read_final(const FinalWrite& write, const ReplyCallback& respond) {
-  state_.store.get(records::job_key(write.job), [this, write, respond](const StoreResponse& a) {
+  state_.store.get(records::final_job_key(write.job), [this, write, respond](const StoreResponse& a) {
     const auto entry =
-        a.ok() && !a.entries.empty() ? records::job_entry(a.entries.front().value) : std::nullopt;
+        a.ok() && !a.entries.empty() ? records::final_job(a.entries.front().value) : std::nullopt;
     if (!entry) {
       respond(unavailable(write.job));
       state_.context.later(kRetryFinal, [this, write] { write_final(write, [](const UserReply&) {}); });
@@ -133,7 +133,8 @@
     job.finalizing = false;
     shard->end(job);
     if (!job.awards.empty())
-      for (const auto& [host, route] : state_.routes) state_.context.act(PeerSend{host, Ended{write.job}});
+      for (const auto& [host, route] : state_.routes)
+        state_.context.act(PeerSend{host, JobEndNotice{write.job}});
     settle(*shard);
   }
   remember(write.job, state);
@@ -163,11 +164,11 @@
       });
       shard.request_push(*task.machine);
     }
-    if (job.present > 0 || job.finalizing || job.offered > 0) {
+    if (job.present > 0 || job.finalizing || job.tasks_in_award > 0) {
       shard.over.push_back(std::move(id));
       continue;
     }
-    std::erase_if(shard.queue, [&](const Ranked& r) { return r.job == &job; });
+    std::erase_if(shard.queue, [&](const QueueEntry& r) { return r.job == &job; });
     shard.jobs.erase(it);
   }
 }
--- a/src/core/jobs_recording.cpp
+++ b/src/core/jobs_recording.cpp
@@ -140,7 +140,7 @@
     if (!job.owner.empty()) owners.insert(job.owner);
   }
   for (const std::string& owner : owners)
-    state_.context.act(PeerSend{state_.leader_of(owner), Progress{owner}});
+    state_.context.act(PeerSend{state_.leader_of(owner), ProgressNotice{owner}});
 }
 
 void Jobs::read_slot(Shard& shard, std::uint32_t number) {
--- a/src/core/jobs_status.cpp
+++ b/src/core/jobs_status.cpp
@@ -130,7 +130,7 @@
 void Jobs::on_live_record(const JobRead& read, const StoreResponse& a) {
   if (a.outcome == Outcome::absent) {
     // Not live at that moment: over since before, or never accepted.
-    state_.store.get(records::job_key(read.job),
+    state_.store.get(records::final_job_key(read.job),
                      [this, read](const StoreResponse& b) { on_final_record(read, b); });
     return;
   }
@@ -152,7 +152,7 @@
 void Jobs::on_final_record(const JobRead& read, const StoreResponse& a) {
   if (a.outcome == Outcome::absent) return read.respond(absent(read.job));
   const auto entry =
-      a.ok() && !a.entries.empty() ? records::job_entry(a.entries.front().value) : std::nullopt;
+      a.ok() && !a.entries.empty() ? records::final_job(a.entries.front().value) : std::nullopt;
   if (!entry) return on_record_unreadable(read);
   const FinalState state{entry->phase, entry->phase == JobPhase::done ? entry->tasks : 0};
   remember(read.job, state);
--- a/src/core/jobs_submission.cpp
+++ b/src/core/jobs_submission.cpp
@@ -108,7 +108,7 @@
     while (!queued_submissions_.empty() && batch.jobs.size() < most) {
       const records::LiveJob& record = queued_submissions_.front().record;
       transaction.compares.push_back({records::live_key(record.spec.id), 0});
-      transaction.compares.push_back({records::job_key(record.spec.id), 0});
+      transaction.compares.push_back({records::final_job_key(record.spec.id), 0});
       transaction.writes.push_back({records::live_key(record.spec.id), records::to_json(record), 0});
       submissions_in_flight_[record.spec.id];
       batch.jobs.push_back(std::move(queued_submissions_.front()));
@@ -173,7 +173,7 @@
   for (Submission& one : batch.jobs) {
     const std::string& id = one.record.spec.id;
     if (a.outcome == Outcome::conflict &&
-        (batch.jobs.size() == 1 || failed(records::live_key(id)) || failed(records::job_key(id)))) {
+        (batch.jobs.size() == 1 || failed(records::live_key(id)) || failed(records::final_job_key(id)))) {
       // Known already, or the part is no longer ours.
       for (ReplyCallback& respond : one.callbacks)
         read_and_tell(
--- a/src/core/overview.cpp
+++ b/src/core/overview.cpp
@@ -13,10 +13,10 @@
 Value shards(const ControllerState& state) {
   Value held = Value::array(), routes = Value::object();
   for (const auto& [name, shard] : state.shards) {
-    Value shares = Value::object();
-    for (const auto& [team, share] : shard.shares)
-      shares[team] = {{"share_cpus", units(share.cpu)},
-                      {"used_or_possibly_used_cpus", units(shard.used(team).cpu)}};
+    Value quota_shares = Value::object();
+    for (const auto& [team, share] : shard.quota_shares)
+      quota_shares[team] = {{"share_cpus", units(share.cpu)},
+                            {"used_or_possibly_used_cpus", units(shard.used(team).cpu)}};
     held.push_back({{"part", name},
                     {"token", shard.fencing_token},
                     {"ready", shard.ready()},
@@ -25,7 +25,7 @@
                     {"machines", shard.machines.size()},
                     {"all_machines_settled", shard.all_reconciled()},
                     {"jobs", shard.jobs.size()},
-                    {"shares", std::move(shares)}});
+                    {"shares", std::move(quota_shares)}});
   }
   for (const auto& [name, route] : state.routes)
     routes[name] = route.host.empty() ? Value() : Value(route.host);
@@ -71,7 +71,7 @@
                      {"done", job.done},
                      {"awards", job.awards.size()},
                      {"no_room_for", job.overflow},
-                     {"share_used_up", job.short_of_share},
+                     {"share_used_up", job.quota_share_exhausted},
                      {"no_machine_to_rent", job.unrentable},
                      {"suspect", job.suspect()}});
     }
@@ -86,7 +86,7 @@
           {"awards", c.awards},
           {"conflicts", c.conflicts},
           {"without_feasible_proposal", c.infeasible},
-          {"shares_moved", c.shares_moved}};
+          {"shares_moved", c.quota_transfers}};
 }
 
 }  // namespace bendtide::overview
--- a/src/core/part.h
+++ b/src/core/part.h
@@ -52,12 +52,12 @@
 
   // contract net, at the owner
   std::map<std::string, std::string> awards;  ///< award key -> winning part
-  std::uint32_t offered = 0;                  ///< tasks in an award whose write is under way
+  std::uint32_t tasks_in_award = 0;           ///< tasks in an award whose write is under way
   Micros next_call{0};
   bool refused = false;        ///< the last call found no room elsewhere: machines are to be rented
   bool unrentable = false;     ///< the cloud has nothing for it
   std::uint32_t overflow = 0;  ///< tasks that found no room in the last pass
-  bool short_of_share = false;
+  bool quota_share_exhausted = false;
   bool only_where_cached = false;  ///< room is being made on a machine that caches its image
 
   /// Whether any task of it has been placed or is done.
@@ -128,10 +128,10 @@
   std::string zone;
   bool spot = false;
   Resources size;
-  Resources used;       ///< by tasks that take room
-  Resources coming;     ///< the part of it whose tasks are already told to stop
-  int services = 0;     ///< tasks among them that run until they are cancelled
-  Micros rented_at{0};  ///< wall clock
+  Resources used;            ///< by tasks that take room
+  Resources being_released;  ///< the part of it whose tasks are already told to stop
+  int services = 0;          ///< tasks among them that run until they are cancelled
+  Micros rented_at{0};       ///< wall clock
   std::uint32_t ownership_block = 0;
   bool in_use = false;  ///< its claim names its address: only then may anything be started on it
 
@@ -176,7 +176,7 @@
   Micros last_contact() const { return std::min(last_status_at, last_heartbeat_at); }
   bool idle() const { return tasks.empty(); }
   /// Room of tasks that are going, or are expected to end by `when`.
-  Resources coming_by(Micros when) const {
+  Resources released_by(Micros when) const {
     Resources out;
     for (const auto& [id, p] : tasks)
       if (p.takes_room() && (!p.wanted || p.ends_at <= when)) out += p.each;
@@ -197,10 +197,10 @@
 }
 
 /// A job that has tasks to start, in the order in which its part serves them.
-struct Ranked {
+struct QueueEntry {
   Job* job = nullptr;
-  int lost = 0;        ///< objectives that it misses anyway
-  Micros start_by{0};  ///< for the next that it can keep
+  int missed_objectives = 0;  ///< objectives that it misses anyway
+  Micros start_by{0};         ///< for the next that it can keep
   bool guaranteed = false;
 };
 
@@ -237,11 +237,11 @@
   bool advance_token_eventually =
       false;  ///< and some day, for workers to forget ended attempts that were started directly
 
-  std::map<std::string, Quota> shares;
-  std::map<std::string, Quota> lending;  ///< share in a write under way: neither ours nor given yet
-  std::uint64_t room_revision = 0;
-  bool room_busy = false;   ///< a write or read of our room record is under way
-  bool room_stale = false;  ///< somebody else wrote our room record
+  std::map<std::string, Quota> quota_shares;
+  std::map<std::string, Quota> quota_in_transfer;  ///< share in a write under way: neither ours nor given yet
+  std::uint64_t quota_revision = 0;
+  bool quota_write_in_flight = false;  ///< a write or read of our room record is under way
+  bool quota_stale = false;            ///< somebody else wrote our room record
   bool reading_awards = false;
   Micros awards_read_at{0};      ///< the awards to us are known as of then
   Micros awards_valid_until{0};  ///< and are acted on until then: they may be taken back unseen
@@ -257,8 +257,8 @@
   std::map<std::string, Machine> machines;
   std::uint64_t starts = 0;  ///< numbers the attempts under this holding
 
-  std::vector<Ranked> queue;  ///< as of the last pass
-  Micros next_pass{0};        ///< a pass over everything; at once if something has changed
+  std::vector<QueueEntry> queue;  ///< as of the last pass
+  Micros next_pass{0};            ///< a pass over everything; at once if something has changed
   Micros next_watch{0};
   std::map<std::string, Micros> cut_zones;  ///< whose machines can't be reached, and since when
   Micros cut_over{0};                       ///< when one of them was last reached again
@@ -350,13 +350,13 @@
     auto it = usage_.find(team);
     return usage_unreconciled_ + usage_of_unknown_ + (it == usage_.end() ? Quota{} : it->second);
   }
-  Quota share(const std::string& team) const {
+  Quota quota_share(const std::string& team) const {
     Quota q;
-    if (auto it = shares.find(team); it != shares.end()) q = it->second;
-    if (auto it = lending.find(team); it != lending.end()) q -= it->second;
+    if (auto it = quota_shares.find(team); it != quota_shares.end()) q = it->second;
+    if (auto it = quota_in_transfer.find(team); it != quota_in_transfer.end()) q -= it->second;
     return q;
   }
-  Quota free_share(const std::string& team) const { return share(team) - used(team); }
+  Quota free_quota_share(const std::string& team) const { return quota_share(team) - used(team); }
   /// The same, counted afresh: what the sums are checked against.
   bool sums_hold() const;
 
@@ -364,7 +364,7 @@
   void count(Machine& m, const AttemptId& id, Placement& p, int sign) {
     if (!p.takes_room()) return;
     m.used += p.each * sign;
-    if (!p.wanted) m.coming += p.each * sign;
+    if (!p.wanted) m.being_released += p.each * sign;
     if (p.of_service) m.services += sign;
     if (m.reconciled) *p.usage += quota_of(p.each) * sign;
     if (p.of_known_job)
--- a/src/core/records.cpp
+++ b/src/core/records.cpp
@@ -97,20 +97,20 @@
   });
 }
 
-Value to_json(const Room& r) {
-  Value shares = Value::object();
-  for (const auto& [team, share] : r.shares) shares[team] = quota_json(share);
-  return {{"shares", shares}};
-}
-std::optional<Room> room(const Value& v) {
-  return read<Room>(v, [](Room& out, const Value& in) {
-    for (const auto& [team, share] : in.at("shares").items()) out.shares[team] = quota(share);
+Value to_json(const QuotaAllocation& r) {
+  Value quota_shares = Value::object();
+  for (const auto& [team, share] : r.quota_shares) quota_shares[team] = quota_json(share);
+  return {{"shares", quota_shares}};
+}
+std::optional<QuotaAllocation> quota_allocation(const Value& v) {
+  return read<QuotaAllocation>(v, [](QuotaAllocation& out, const Value& in) {
+    for (const auto& [team, share] : in.at("shares").items()) out.quota_shares[team] = quota(share);
   });
 }
 
-Value to_json(const JobEntry& e) { return {{"phase", static_cast<int>(e.phase)}, {"tasks", e.tasks}}; }
-std::optional<JobEntry> job_entry(const Value& v) {
-  return read<JobEntry>(v, [](JobEntry& out, const Value& in) {
+Value to_json(const FinalJob& e) { return {{"phase", static_cast<int>(e.phase)}, {"tasks", e.tasks}}; }
+std::optional<FinalJob> final_job(const Value& v) {
+  return read<FinalJob>(v, [](FinalJob& out, const Value& in) {
     out.phase = enumerator(in.at("phase"), JobPhase::cancelled);
     out.tasks = in.at("tasks").get<std::uint32_t>();
   });
--- a/src/core/records.h
+++ b/src/core/records.h
@@ -20,10 +20,10 @@
   std::string host;
   std::string incarnation;
 };
-struct Room {
-  std::map<std::string, Quota> shares;
+struct QuotaAllocation {
+  std::map<std::string, Quota> quota_shares;
 };
-struct JobEntry {
+struct FinalJob {
   JobPhase phase = JobPhase::pending;
   std::uint32_t tasks = 0;
 };
@@ -53,8 +53,8 @@
 };
 
 inline std::string lease_key(const std::string& shard) { return "hold/" + shard; }
-inline std::string room_key(const std::string& shard) { return "room/" + shard; }
-inline std::string job_key(const std::string& id) { return "job/" + id; }
+inline std::string quota_key(const std::string& shard) { return "room/" + shard; }
+inline std::string final_job_key(const std::string& id) { return "job/" + id; }
 inline std::string live_key(const std::string& id) { return "live/" + id; }
 inline std::string done_prefix(const std::string& shard) { return "done/" + shard + "/"; }
 inline std::string done_key(const std::string& shard, std::uint32_t slot) {
@@ -83,8 +83,8 @@
 std::vector<std::string> split_key(const std::string& key);
 
 Value to_json(const LeaseRecord&);
-Value to_json(const Room&);
-Value to_json(const JobEntry&);
+Value to_json(const QuotaAllocation&);
+Value to_json(const FinalJob&);
 Value to_json(const LiveJob&);
 Value to_json(const Award&);
 Value to_json(const std::vector<OwnedMachine>&);
@@ -97,8 +97,8 @@
 
 /// A record that can't be read is none: the caller drops it and says so.
 std::optional<LeaseRecord> lease_record(const Value&);
-std::optional<Room> room(const Value&);
-std::optional<JobEntry> job_entry(const Value&);
+std::optional<QuotaAllocation> quota_allocation(const Value&);
+std::optional<FinalJob> final_job(const Value&);
 std::optional<LiveJob> live_job(const Value&);
 std::optional<Award> award(const Value&);
 std::optional<std::vector<OwnedMachine>> owned_machines(const Value&);
--- a/src/core/scheduler.h
+++ b/src/core/scheduler.h
@@ -19,48 +19,51 @@
     std::uint32_t tasks = 0;
     Micros delay{0};
   };
-  Offer offer(Shard& shard, const Call& call) const;
+  Offer offer(Shard& shard, const CallForProposals& call) const;
   /// The share of a team's guarantee that falls to this part.
   Quota guarantee(const Shard& shard, const std::string& team) const;
 
  private:
-  struct Room {
+  struct FreeCapacity {
     Machine* machine;
     Resources free;
-    Resources coming;  ///< of tasks already told to stop, as far as nobody was promised it
+    Resources being_released;  ///< of tasks already told to stop, as far as nobody was promised it
   };
-  using PerZone = std::map<std::string, std::int64_t>;
+  using TasksPerZone = std::map<std::string, std::int64_t>;
 
   struct Urgency {
-    int lost;
+    int missed_objectives;
     Micros start_by;
   };
   Urgency urgency(const Job& job) const;
-  void rank(Shard& shard);
-  std::vector<Room> rooms(Shard& shard) const;
-  static bool allowed(const Job& job, const Machine& m, const PerZone& per_zone);
+  void build_queue(Shard& shard);
+  std::vector<FreeCapacity> free_capacities(Shard& shard) const;
+  static bool is_allowed_on(const Job& job, const Machine& m, const TasksPerZone& tasks_per_zone);
   /// Opportunistic work does not begin on an ordinary machine that nothing else needs: it would keep it
   /// rented.
-  bool worth_its_price(const Shard& shard, const Job& job, const Machine& m) const;
+  bool justifies_machine(const Shard& shard, const Job& job, const Machine& m) const;
   /// Places as many waiting tasks of a job as fit on a machine and into the share.
-  void place(Shard& shard, const Ranked& ranked, Room& room, PerZone& per_zone);
-  void place_all(Shard& shard, const Ranked& ranked, std::vector<Room>& rooms, PerZone& per_zone);
+  void place(Shard& shard, const QueueEntry& queue_entry, FreeCapacity& capacity,
+             TasksPerZone& tasks_per_zone);
+  void place_all(Shard& shard, const QueueEntry& queue_entry, std::vector<FreeCapacity>& free_capacities,
+                 TasksPerZone& tasks_per_zone);
   /// Whose tasks may be stopped for others.
-  struct Losers {
+  struct PreemptionCandidates {
     Priority lowest = Priority::production;
     std::set<std::string> over_guarantee;  ///< teams that use more
   };
-  Losers losers(const Shard& shard) const;
+  PreemptionCandidates preemption_candidates(const Shard& shard) const;
   /// Whether a service begins sooner on a machine that caches its image, once lesser tasks there have given
   /// way, than anywhere else with a fetch.
-  bool sooner_where_cached(const Shard& shard, const Job& job, const std::vector<Room>& rooms,
-                           const PerZone& per_zone) const;
+  bool sooner_where_cached(const Shard& shard, const Job& job,
+                           const std::vector<FreeCapacity>& free_capacities,
+                           const TasksPerZone& tasks_per_zone) const;
   /// Stops tasks that have to give way. The room is there once their machines have shown them gone.
-  void make_room(Shard& shard, const Ranked& ranked, std::vector<Room>& rooms, const PerZone& per_zone,
-                 std::int64_t& coming);
+  void preempt_for(Shard& shard, const QueueEntry& queue_entry, std::vector<FreeCapacity>& free_capacities,
+                   const TasksPerZone& tasks_per_zone, std::int64_t& being_released);
   Micros guarantee_within() const;
   /// Where tasks of the job are, or may be.
-  static PerZone zones_of(const Shard& shard, const Job& job);
+  static TasksPerZone tasks_per_zone_of(const Shard& shard, const Job& job);
 
   ControllerState& state_;
   Fleet& fleet_;
--- a/src/core/settings.h
+++ b/src/core/settings.h
@@ -61,7 +61,7 @@
   /// Whether the job is only to use what is left over: of the lowest priority, without a deadline, an
   /// objective of its class or a guarantee of its team. No aim of its own justifies the price of an ordinary
   /// machine.
-  bool opportunistic(const JobSpec& spec) const {
+  bool best_effort(const JobSpec& spec) const {
     if (spec.priority != Priority::low || spec.deadline) return false;
     const Team* of = team(spec.team);
     if (of != nullptr && of->guarantee != Quota{}) return false;
--- a/src/wire/wire.cpp
+++ b/src/wire/wire.cpp
@@ -431,17 +431,20 @@
 
 HttpRequest request_of(const CloudRequest& request) {
   struct Visitor {
-    HttpRequest operator()(const CloudCatalogue&) { return {"GET", kCatalog, ""}; }
-    HttpRequest operator()(const CloudRent& r) {
-      return {
-          "POST", kMachines,
-          json{{kCharter, r.charter}, {kType, r.type}, {kZone, r.zone}, {kSpot, r.spot}, {kCount, r.count}}
-              .dump()};
+    HttpRequest operator()(const ListMachineTypes&) { return {"GET", kCatalog, ""}; }
+    HttpRequest operator()(const CreateMachines& r) {
+      return {"POST", kMachines,
+              json{{kCharter, r.idempotency_key},
+                   {kType, r.type},
+                   {kZone, r.zone},
+                   {kSpot, r.spot},
+                   {kCount, r.count}}
+                  .dump()};
     }
-    HttpRequest operator()(const CloudDelete& r) {
+    HttpRequest operator()(const DeleteMachines& r) {
       return {"POST", kMachinesDelete, json{{kMachineList, r.machines}}.dump()};
     }
-    HttpRequest operator()(const CloudList& r) {
+    HttpRequest operator()(const ListMachines& r) {
       std::string target = std::string(kMachines) + "?" + kMost + "=500";
       if (!r.after.empty()) target += std::string("&") + kFrom + "=" + escaped(r.after);
       return {"GET", target, ""};
@@ -450,28 +453,28 @@
   return std::visit(Visitor{}, request);
 }
 
-CloudAnswer cloud_answer(const CloudRequest& request, int status, std::string_view body) {
-  CloudAnswer out;
+CloudResponse cloud_response(const CloudRequest& request, int status, std::string_view body) {
+  CloudResponse out;
   try {
     if (status == 503) {
       const json v = parse(body);
       const json* error = v.is_object() ? find(v, kError) : nullptr;
       const bool none = error != nullptr && *error == "no capacity";
-      out.outcome = none ? CloudAnswer::Outcome::no_capacity : CloudAnswer::Outcome::refused;
+      out.outcome = none ? CloudResponse::Outcome::no_capacity : CloudResponse::Outcome::refused;
       return out;
     }
     if (status == 429 || status == 400) {
-      out.outcome = CloudAnswer::Outcome::refused;
+      out.outcome = CloudResponse::Outcome::refused;
       return out;
     }
     if (status != 200) return out;
-    if (std::holds_alternative<CloudDelete>(request)) {
-      out.outcome = CloudAnswer::Outcome::ok;
+    if (std::holds_alternative<DeleteMachines>(request)) {
+      out.outcome = CloudResponse::Outcome::ok;
       return out;
     }
     const json v = parse(body);
     object(v);
-    if (std::holds_alternative<CloudCatalogue>(request)) {
+    if (std::holds_alternative<ListMachineTypes>(request)) {
       for (const json& t : need(v, kTypes)) {
         MachineType type;
         type.name = name(t, kLabel);
@@ -484,7 +487,7 @@
         type.zones = need(t, kZones).get<std::vector<std::string>>();
         out.types.push_back(std::move(type));
       }
-    } else if (std::holds_alternative<CloudRent>(request)) {
+    } else if (std::holds_alternative<CreateMachines>(request)) {
       out.names = need(v, kMachineList).get<std::vector<std::string>>();
     } else {
       for (const json& m : need(v, kMachineList)) {
@@ -500,7 +503,7 @@
       }
       out.more = flag(v, kMore, false);
     }
-    out.outcome = CloudAnswer::Outcome::ok;
+    out.outcome = CloudResponse::Outcome::ok;
     return out;
   } catch (const Malformed&) {
   } catch (const json::exception&) {
--- a/src/wire/wire.h
+++ b/src/wire/wire.h
@@ -35,7 +35,7 @@
 HttpRequest request_of(const CommandRequest& request);
 
 StoreResponse store_response(const StoreRequest& request, int status, std::string_view body);
-CloudAnswer cloud_answer(const CloudRequest& request, int status, std::string_view body);
+CloudResponse cloud_response(const CloudRequest& request, int status, std::string_view body);
 CommandResponse command_response(int status, std::string_view body);
 
 // ---- the same protocol's other side, for stand-ins -------------------------------------------------
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -8,12 +8,12 @@
 namespace {
 
 std::vector<PeerMessage> one_of_each() {
-  Call call;
+  CallForProposals call;
   call.id = UINT64_MAX;
   call.tasks = 100'000;
   call.each = {2500, 0, 64'000'000};
   call.types = {"small", "large"};
-  call.spare = {-5, 0};
+  call.spare_quota = {-5, 0};
   call.disclosed = true;
   call.priority = Priority::production;
   call.deadline_in = seconds(-3);
@@ -26,12 +26,12 @@
           JobReply{7, 201, JobPhase::done, 300, 0},
           call,
           Proposal{9, 3, "node-1", 12, seconds(2), 730, 4711, {8000, 0}},
-          Awarded{"node-1"},
-          Progress{"node-0"},
+          AwardNotice{"node-1"},
+          ProgressNotice{"node-0"},
           FailbackRequest{"node-2"},
-          Lend{"a", "b", "team", {1, 2}, seconds(3)},
-          Ended{"run-1"},
-          Scarce{"large", "east", true},
+          QuotaTransferRequest{"a", "b", "team", {1, 2}, seconds(3)},
+          JobEndNotice{"run-1"},
+          CapacityExhausted{"large", "east", true},
           PeerHealth{true, 3},
           LeaseTransfer{"node-1",
                         4711,
@@ -60,7 +60,7 @@
 }
 
 TEST(Codec, BadFramesAreRefused) {
-  const std::string good = encode({"sender", Awarded{"part"}});
+  const std::string good = encode({"sender", AwardNotice{"part"}});
   auto with = [&](std::size_t at, char c) {
     std::string bytes = good;
     bytes[at] = c;
--- a/tests/late_answer_test.cpp
+++ b/tests/late_answer_test.cpp
@@ -44,7 +44,7 @@
   const records::Award award{"b", {{0, 1}}, {"b", HandAnswered::spec(), seconds(1'000'000)}};
   const KeyValue entry{records::award_key("a", kTask.job, 1), records::to_json(award), 19};
   for (const bool has_ended : {true, false}) {
-    if (has_ended) net.on_ended({kTask.job});
+    if (has_ended) net.on_job_end_notice({kTask.job});
     net.load_awards(t.shard, {entry}, t.context.now);
     EXPECT_EQ(t.shard.jobs.contains(kTask.job), !has_ended);
     t.state.final_states = {};
@@ -62,8 +62,8 @@
   StoreResponse absent;
   absent.outcome = Outcome::absent;
   t.answer(0, absent);
-  t.answer(
-      1, found(records::job_key(kTask.job), records::to_json(records::JobEntry{JobPhase::cancelled, 1}), 15));
+  t.answer(1, found(records::final_job_key(kTask.job),
+                    records::to_json(records::FinalJob{JobPhase::cancelled, 1}), 15));
   ASSERT_EQ(t.replies.size(), 1u);
   EXPECT_EQ(t.replies[0].phase, JobPhase::cancelled);
   EXPECT_TRUE(job.ended);
@@ -102,15 +102,16 @@
   ASSERT_EQ(t.calls.size(), 1u);
   const std::vector<Compare>& compares = t.commit(0).compares;
   EXPECT_TRUE(std::any_of(compares.begin(), compares.end(), [](const Compare& c) {
-    return c.key == records::job_key(kTask.job) && c.revision == 0;
+    return c.key == records::final_job_key(kTask.job) && c.revision == 0;
   }));
   StoreResponse refused;
   refused.outcome = Outcome::conflict;
-  refused.failed = {records::job_key(kTask.job)};
+  refused.failed = {records::final_job_key(kTask.job)};
   t.answer(0, refused);
   ASSERT_EQ(t.calls.size(), 2u) << "what the state service holds";
   EXPECT_TRUE(job.finalizing);
-  t.answer(1, found(records::job_key(kTask.job), records::to_json(records::JobEntry{JobPhase::done, 1}), 15));
+  t.answer(1, found(records::final_job_key(kTask.job), records::to_json(records::FinalJob{JobPhase::done, 1}),
+                    15));
   ASSERT_EQ(t.replies.size(), 1u);
   EXPECT_EQ(t.replies[0].phase, JobPhase::done);
   EXPECT_EQ(t.context.invariants.total(), 1u) << "this holder believed in another end";
@@ -128,10 +129,10 @@
   t.collect([&] { t.context.timers.begin()->second(); });
   StoreResponse refused;
   refused.outcome = Outcome::conflict;
-  refused.failed = {records::job_key(kTask.job)};
+  refused.failed = {records::final_job_key(kTask.job)};
   t.answer(1, refused);
-  t.answer(
-      2, found(records::job_key(kTask.job), records::to_json(records::JobEntry{JobPhase::cancelled, 1}), 15));
+  t.answer(2, found(records::final_job_key(kTask.job),
+                    records::to_json(records::FinalJob{JobPhase::cancelled, 1}), 15));
   EXPECT_EQ(t.context.invariants.total(), 0u);
   t.cancel();
   EXPECT_EQ(t.replies.back().phase, JobPhase::cancelled);
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -11,12 +11,12 @@
 /// A part with machines that are up, a catalogue and a cloud that is asked by hand.
 struct RentingPart : HeldPart {
   Scheduler scheduler{state, fleet};
-  Renter renter{state, fleet};
+  Autoscaler renter{state, fleet};
 
   RentingPart() {
     state.catalogue = {{"small", {8000, 0, 64000}, 50, 0.1, 0.5, 0.12, seconds(40), {"z"}}};
     context.settings.teams = {{"t", {8000, 0}, {80'000, 0}}, {"guests", {}, {80'000, 0}}};
-    shard.shares = {{"t", {80'000, 0}}, {"guests", {80'000, 0}}};
+    shard.quota_shares = {{"t", {80'000, 0}}, {"guests", {80'000, 0}}};
     shard.machines.clear();
   }
   /// Up, settled and heard a moment ago.
@@ -51,11 +51,11 @@
     return Jobs::load(shard, record);
   }
   /// What is rented for tasks that no peer has room for.
-  std::vector<CloudRent> rented() {
+  std::vector<CreateMachines> rented() {
     for (auto& [id, job] : shard.jobs) job.refused = true;
-    std::vector<CloudRent> out;
+    std::vector<CreateMachines> out;
     for (const CloudCall& call : at<CloudCall>(in_seconds(context.now) + 1, [&] { renter.tick(); }))
-      if (auto* rent = std::get_if<CloudRent>(&call.request)) out.push_back(*rent);
+      if (auto* rent = std::get_if<CreateMachines>(&call.request)) out.push_back(*rent);
     return out;
   }
   void pass() {
@@ -103,12 +103,12 @@
     for (const bool spot_to_be_had : {true, false}) {
       RentingPart t;
       if (c.has_objective) t.context.settings.objectives = {{"finished", c.team, seconds(400), 1}};
-      if (!spot_to_be_had) t.renter.on_scarce({"small", "z", true});
+      if (!spot_to_be_had) t.renter.on_capacity_exhausted({"small", "z", true});
       t.add("run-1", c.team, Shape::array, c.priority, 4);
       t.pass();
-      const std::vector<CloudRent> rented = t.rented();
+      const std::vector<CreateMachines> rented = t.rented();
       ASSERT_EQ(rented.size(), spot_to_be_had || c.any ? 1u : 0u) << c.what;
-      for (const CloudRent& rent : rented) EXPECT_EQ(rent.spot, spot_to_be_had) << c.what;
+      for (const CreateMachines& rent : rented) EXPECT_EQ(rent.spot, spot_to_be_had) << c.what;
     }
   }
 }
@@ -117,9 +117,9 @@
 TEST(Opportunistic, WorkThatHasNotBegunGetsAMachineForItsFirstTaskInTheEnd) {
   RentingPart t;
   t.add("run-1", "guests", Shape::array, Priority::low, 40).accepted = t.context.wall - seconds(121);
-  t.renter.on_scarce({"small", "z", true});
+  t.renter.on_capacity_exhausted({"small", "z", true});
   t.pass();
-  const std::vector<CloudRent> rented = t.rented();
+  const std::vector<CreateMachines> rented = t.rented();
   ASSERT_EQ(rented.size(), 1u);
   EXPECT_EQ(rented[0].count, 1);
 }
@@ -147,7 +147,7 @@
   Job& service = t.add("run-2", "t", Shape::service, Priority::production, 1);
   service.spec.spot = false;
   t.pass();
-  const std::vector<CloudRent> rented = t.rented();
+  const std::vector<CreateMachines> rented = t.rented();
   ASSERT_EQ(rented.size(), 1u);
   EXPECT_FALSE(rented[0].spot);
 }
--- a/tests/sim/day.cpp
+++ b/tests/sim/day.cpp
@@ -233,13 +233,13 @@
           [call = a.call](Controller& c, const StoreResponse& answer) { c.on_store_response(call, answer); });
     }
     void operator()(CloudCall& a) {
-      d.call<CloudAnswer>(
+      d.call<CloudResponse>(
           node, kCloud, seconds(5),
           [day = &d, request = a.request] {
             Response r = day->cloud_.handle(wire::request_of(request), day->now_);
-            return wire::cloud_answer(request, r.status, r.body);
+            return wire::cloud_response(request, r.status, r.body);
           },
-          [call = a.call](Controller& c, const CloudAnswer& answer) { c.on_cloud(call, answer); });
+          [call = a.call](Controller& c, const CloudResponse& answer) { c.on_cloud_response(call, answer); });
     }
     void operator()(WorkerCall& a) {
       d.count_starts(a.request.commands);
@@ -927,7 +927,7 @@
   for (const auto& node : nodes_)
     for (const auto& [name, shard] : node->core->state().shards)
       for (const auto& [id, job] : shard.jobs)
-        if (job.overflow > 0 && !job.refused && !job.short_of_share) out.insert(id);
+        if (job.overflow > 0 && !job.refused && !job.quota_share_exhausted) out.insert(id);
   return out;
 }
 
--- a/tests/sim/services.cpp
+++ b/tests/sim/services.cpp
@@ -175,13 +175,14 @@
   }
   if (r.method == "POST" && r.target == kMachines) {
     const json body = json::parse(r.body);
-    const auto charter = body.at(kCharter).get<std::string>();
-    if (auto it = charters_.find(charter); it != charters_.end()) return {200, it->second};
+    const auto idempotency_key = body.at(kCharter).get<std::string>();
+    if (auto it = idempotency_keys_.find(idempotency_key); it != idempotency_keys_.end())
+      return {200, it->second};
     json names = json::array();
     for (int i = 0; i < body.at(kCount).get<int>() && static_cast<int>(machines_.size()) < capacity_; ++i)
       names.push_back(add(body.at(kType), body.at(kZone), body.at(kSpot), now).name);
     if (names.empty()) return {503, json{{kError, "no capacity"}}.dump()};
-    return {200, charters_[charter] = json{{kMachineList, names}}.dump()};
+    return {200, idempotency_keys_[idempotency_key] = json{{kMachineList, names}}.dump()};
   }
   if (r.target == kMachinesDelete) {
     const json body = json::parse(r.body);
--- a/tests/sim/services.h
+++ b/tests/sim/services.h
@@ -87,7 +87,7 @@
   int capacity_;
   Boot boot_;
   std::map<std::string, Machine> machines_;
-  std::map<std::string, std::string> charters_;
+  std::map<std::string, std::string> idempotency_keys_;
   std::uint64_t next_ = 1;
   bool out_ = false;
 };
--- a/tests/size_test.cpp
+++ b/tests/size_test.cpp
@@ -175,9 +175,9 @@
       core_->on_store_response(call->call, wire::store_response(call->request, r.status, r.body));
     } else if (auto* asked = std::get_if<CloudCall>(&action)) {
       ++cloud_calls_;
-      if (auto* gone = std::get_if<CloudDelete>(&asked->request)) deleted_ += gone->machines.size();
+      if (auto* gone = std::get_if<DeleteMachines>(&asked->request)) deleted_ += gone->machines.size();
       const Response r = cloud_.handle(wire::request_of(asked->request), now_);
-      core_->on_cloud(asked->call, wire::cloud_answer(asked->request, r.status, r.body));
+      core_->on_cloud_response(asked->call, wire::cloud_response(asked->request, r.status, r.body));
     } else if (auto* reply = std::get_if<AnswerHeartbeat>(&action)) {
       if (reply->reply.status == 200) take(reporting_, reply->reply.fencing_token, reply->reply.commands);
     } else if (auto* orders = std::get_if<WorkerCall>(&action)) {
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -140,15 +140,15 @@
 }
 
 TEST(CloudAnswers, EachStatusIsToldApart) {
-  using Outcome = CloudAnswer::Outcome;
-  const CloudRent rent{"c", "t", "z", false, 1};
-  EXPECT_EQ(cloud_answer(rent, 200, R"({"helms":["n-1"]})").outcome, Outcome::ok);
-  EXPECT_EQ(cloud_answer(rent, 200, R"({"helms":[1]})").outcome, Outcome::unknown);
-  EXPECT_EQ(cloud_answer(rent, 503, R"({"error":"no capacity"})").outcome, Outcome::no_capacity);
-  EXPECT_EQ(cloud_answer(rent, 503, R"({"error":"trouble"})").outcome, Outcome::refused);
-  EXPECT_EQ(cloud_answer(rent, 429, "").outcome, Outcome::refused);
-  EXPECT_EQ(cloud_answer(CloudDelete{{"n-1"}}, 200, "").outcome, Outcome::ok);
-  EXPECT_EQ(cloud_answer(CloudDelete{{"n-1"}}, 500, "").outcome, Outcome::unknown);
+  using Outcome = CloudResponse::Outcome;
+  const CreateMachines rent{"c", "t", "z", false, 1};
+  EXPECT_EQ(cloud_response(rent, 200, R"({"helms":["n-1"]})").outcome, Outcome::ok);
+  EXPECT_EQ(cloud_response(rent, 200, R"({"helms":[1]})").outcome, Outcome::unknown);
+  EXPECT_EQ(cloud_response(rent, 503, R"({"error":"no capacity"})").outcome, Outcome::no_capacity);
+  EXPECT_EQ(cloud_response(rent, 503, R"({"error":"trouble"})").outcome, Outcome::refused);
+  EXPECT_EQ(cloud_response(rent, 429, "").outcome, Outcome::refused);
+  EXPECT_EQ(cloud_response(DeleteMachines{{"n-1"}}, 200, "").outcome, Outcome::ok);
+  EXPECT_EQ(cloud_response(DeleteMachines{{"n-1"}}, 500, "").outcome, Outcome::unknown);
 }
 
 TEST(OrdersAnswers, WithoutTheWorkersAccountAreNone) {
