--- a/tests/day_test.cpp
+++ b/tests/day_test.cpp
@@ -8,9 +8,9 @@
 namespace {
 
 /// Plays the day, which has to keep every rule and to end with all work done.
-void expect_good(DayPlan plan) {
+void expect_good(FaultScenario plan) {
   plan.verbose = std::getenv("DAY_VERBOSE") != nullptr;
-  Day day(plan);
+  SimulatedCluster day(plan);
   day.play();
   EXPECT_EQ(day.checker().summary(), "");
   EXPECT_EQ(day.unfinished(), std::vector<std::string>{});
@@ -22,7 +22,7 @@
 class TroubledDay : public testing::TestWithParam<std::uint64_t> {};
 
 TEST_P(TroubledDay, KeepsEveryRuleAndFinishesTheWork) {
-  DayPlan plan;
+  FaultScenario plan;
   plan.seed = GetParam();
   expect_good(plan);
 }
@@ -37,7 +37,7 @@
 class FoundDay : public testing::TestWithParam<std::uint64_t> {};
 
 TEST_P(FoundDay, KeepsEveryRuleAndFinishesTheWork) {
-  DayPlan plan;
+  FaultScenario plan;
   plan.seed = GetParam();
   plan.wide = false;
   expect_good(plan);
@@ -53,9 +53,9 @@
 class DayOfOneTrouble : public testing::TestWithParam<int> {};
 
 TEST_P(DayOfOneTrouble, KeepsEveryRuleAndFinishesTheWork) {
-  DayPlan plan;
+  FaultScenario plan;
   plan.seed = 1000 + static_cast<std::uint64_t>(GetParam());
-  plan.only = {static_cast<Trouble>(GetParam())};
+  plan.only = {static_cast<FaultKind>(GetParam())};
   expect_good(plan);
 }
 
@@ -65,28 +65,28 @@
 TEST_P(DayOfTwoTroubles, KeepsEveryRuleAndFinishesTheWork) {
   const auto [kind, distance] = GetParam();
   // The kinds that came later go round all: the pairs of the others stay what they were.
-  Trouble ring = Trouble::count;
-  for (const Trouble first_of_later : {Trouble::state_answers_late, Trouble::late_transactions})
+  FaultKind ring = FaultKind::count;
+  for (const FaultKind first_of_later : {FaultKind::state_answers_late, FaultKind::late_transactions})
     if (kind < static_cast<int>(first_of_later)) ring = first_of_later;
   const int other = (kind + distance) % static_cast<int>(ring);
-  DayPlan plan;
+  FaultScenario plan;
   plan.seed = 2000 + static_cast<std::uint64_t>(kind * 100 + distance);
-  plan.only = {static_cast<Trouble>(kind), static_cast<Trouble>(other)};
+  plan.only = {static_cast<FaultKind>(kind), static_cast<FaultKind>(other)};
   expect_good(plan);
 }
 
 INSTANTIATE_TEST_SUITE_P(Kinds, DayOfTwoTroubles,
-                         testing::Combine(testing::Range(0, static_cast<int>(Trouble::count)),
+                         testing::Combine(testing::Range(0, static_cast<int>(FaultKind::count)),
                                           testing::Values(1, 4, 9)));
 
 // Two faulty machines once took turns in making jobs look faulty, and drew in tasks for as long as they
 // stood.
 TEST(FaultyMachines, AreToldFromFaultyJobs) {
-  DayPlan plan;
+  FaultScenario plan;
   plan.seed = 5;
-  plan.only = {Trouble::machine_sick};
+  plan.only = {FaultKind::machine_sick};
   plan.jobs = 60;
-  Day day(plan);
+  SimulatedCluster day(plan);
   day.play();
   EXPECT_EQ(day.checker().summary(), "");
   // Eight tasks fit on a machine at once; it takes those of two jobs, and of one more that came meanwhile.
@@ -99,12 +99,12 @@
 TEST(Rush, EveryJobGetsItsTurnToCall) {
   std::set<std::string> passed_over_before;
   for (const double end : {12.0, 14.5, 17.0, 19.5, 22.0}) {
-    DayPlan plan;
+    FaultScenario plan;
     plan.troubles = false;
     plan.rush = true;
     plan.jobs = 400;
     plan.end = seconds(end);
-    Day day(plan);
+    SimulatedCluster day(plan);
     day.play();
     const std::set<std::string> passed_over = day.passed_over();
     EXPECT_LE(passed_over.size(), 20u) << end;
@@ -117,11 +117,11 @@
 }
 
 TEST(SmallLimits, WhatWouldExceedThemIsSplit) {
-  DayPlan plan;
+  FaultScenario plan;
   plan.seed = 7;
   plan.jobs = 50;
   plan.small_values = true;
-  Day day(plan);
+  SimulatedCluster day(plan);
   day.play();
   EXPECT_EQ(day.checker().summary(), "");
   EXPECT_EQ(day.unfinished(), std::vector<std::string>{});
@@ -134,12 +134,12 @@
 class DeafMachines : public testing::TestWithParam<std::uint64_t> {};
 
 TEST_P(DeafMachines, AreReplaced) {
-  DayPlan plan;
+  FaultScenario plan;
   plan.seed = GetParam();
-  plan.only = {Trouble::machine_deaf};
+  plan.only = {FaultKind::machine_deaf};
   plan.slow_reports = plan.deaf_for_good = true;
   plan.verbose = std::getenv("DAY_VERBOSE") != nullptr;
-  Day day(plan);
+  SimulatedCluster day(plan);
   day.play();
   EXPECT_EQ(day.checker().summary(), "");
   EXPECT_EQ(day.unfinished(), std::vector<std::string>{});
@@ -148,13 +148,13 @@
 
 INSTANTIATE_TEST_SUITE_P(Seeds, DeafMachines, testing::Range<std::uint64_t>(1, 10));
 
-INSTANTIATE_TEST_SUITE_P(Kinds, DayOfOneTrouble, testing::Range(0, static_cast<int>(Trouble::count)));
+INSTANTIATE_TEST_SUITE_P(Kinds, DayOfOneTrouble, testing::Range(0, static_cast<int>(FaultKind::count)));
 
 TEST(QuietDay, FinishesEverythingAndNegotiates) {
-  DayPlan plan;
+  FaultScenario plan;
   plan.troubles = false;
   plan.jobs = 40;
-  Day day(plan);
+  SimulatedCluster day(plan);
   day.play();
   EXPECT_EQ(day.checker().summary(), "");
   EXPECT_EQ(day.unfinished(), std::vector<std::string>{});
@@ -162,46 +162,52 @@
   EXPECT_GT(day.awards(), 0u);
 }
 
-struct Planted {
-  Sabotage sabotage;
+struct PlantedDefectCase {
+  PlantedDefect planted_defect;
   const char* rule;
 };
 
-class PlantedFault : public testing::TestWithParam<Planted> {};
+class PlantedFault : public testing::TestWithParam<PlantedDefectCase> {};
 
 TEST_P(PlantedFault, IsSeen) {
-  DayPlan plan;
+  FaultScenario plan;
   plan.troubles = false;
   plan.end = seconds(200);
   plan.jobs = 60;
-  plan.sabotage = GetParam().sabotage;
-  plan.odd_requests = plan.sabotage == Sabotage::accept_unfit;
-  Day day(plan);
+  plan.planted_defect = GetParam().planted_defect;
+  plan.odd_requests = plan.planted_defect == PlantedDefect::accept_unfit;
+  SimulatedCluster day(plan);
   day.play();
   EXPECT_TRUE(day.checker().broken().contains(GetParam().rule)) << day.checker().summary();
 }
 
-INSTANTIATE_TEST_SUITE_P(
-    Rules, PlantedFault,
-    testing::Values(
-        Planted{Sabotage::start_twice, "ran_twice"}, Planted{Sabotage::ignore_quota, "quota"},
-        Planted{Sabotage::start_anywhere, "wrong_place"}, Planted{Sabotage::keep_cancelled, "ran_cancelled"},
-        Planted{Sabotage::deny_jobs, "forgotten"}, Planted{Sabotage::confirm_anything, "invented"},
-        Planted{Sabotage::call_done_early, "not_done"}, Planted{Sabotage::take_back, "went_back"},
-        Planted{Sabotage::start_nothing, "nothing_ran"}, Planted{Sabotage::starve_team, "starved"},
-        Planted{Sabotage::starve_large, "starved"}, Planted{Sabotage::ignore_one, "forgotten"},
-        Planted{Sabotage::starve_team, "neglected"}, Planted{Sabotage::accept_unfit, "accepted_unfit"}),
-    [](const auto& info) {
-      return std::string(info.param.rule) + "_" + std::to_string(static_cast<int>(info.param.sabotage));
-    });
+INSTANTIATE_TEST_SUITE_P(Rules, PlantedFault,
+                         testing::Values(PlantedDefectCase{PlantedDefect::start_twice, "ran_twice"},
+                                         PlantedDefectCase{PlantedDefect::ignore_quota, "quota"},
+                                         PlantedDefectCase{PlantedDefect::start_anywhere, "wrong_place"},
+                                         PlantedDefectCase{PlantedDefect::keep_cancelled, "ran_cancelled"},
+                                         PlantedDefectCase{PlantedDefect::deny_jobs, "forgotten"},
+                                         PlantedDefectCase{PlantedDefect::confirm_anything, "invented"},
+                                         PlantedDefectCase{PlantedDefect::call_done_early, "not_done"},
+                                         PlantedDefectCase{PlantedDefect::take_back, "went_back"},
+                                         PlantedDefectCase{PlantedDefect::start_nothing, "nothing_ran"},
+                                         PlantedDefectCase{PlantedDefect::starve_team, "starved"},
+                                         PlantedDefectCase{PlantedDefect::starve_large, "starved"},
+                                         PlantedDefectCase{PlantedDefect::ignore_one, "forgotten"},
+                                         PlantedDefectCase{PlantedDefect::starve_team, "neglected"},
+                                         PlantedDefectCase{PlantedDefect::accept_unfit, "accepted_unfit"}),
+                         [](const auto& info) {
+                           return std::string(info.param.rule) + "_" +
+                                  std::to_string(static_cast<int>(info.param.planted_defect));
+                         });
 
 TEST(PlantedStart, OfACancelledJobIsCounted) {
-  DayPlan plan;
+  FaultScenario plan;
   plan.troubles = false;
   plan.end = seconds(200);
   plan.jobs = 60;
-  plan.sabotage = Sabotage::start_cancelled;
-  Day day(plan);
+  plan.planted_defect = PlantedDefect::start_cancelled;
+  SimulatedCluster day(plan);
   day.play();
   EXPECT_GT(day.checker().starts_after_cancel(), 0u);
 }
--- a/tests/decision_digest_main.cpp
+++ b/tests/decision_digest_main.cpp
@@ -19,38 +19,38 @@
 /// One kind of days; each is played with many seeds.
 struct Family {
   const char* name;
-  std::function<void(DayPlan&)> prepare;
+  std::function<void(FaultScenario&)> prepare;
 };
 
 std::vector<Family> families() {
   return {
-      {"all kinds of trouble", [](DayPlan&) {}},
-      {"no trouble", [](DayPlan& plan) { plan.troubles = false; }},
+      {"all kinds of trouble", [](FaultScenario&) {}},
+      {"no trouble", [](FaultScenario& plan) { plan.troubles = false; }},
       {"impatient users",
-       [](DayPlan& plan) {
+       [](FaultScenario& plan) {
          plan.hasty_users = true;
          plan.jobs = 60;
        }},
-      {"tight limits", [](DayPlan& plan) { plan.tight_limits = plan.odd_requests = true; }},
-      {"zone-bound long tasks", [](DayPlan& plan) { plan.zone_bound = plan.long_tasks = true; }},
-      {"small values", [](DayPlan& plan) { plan.small_values = true; }},
-      {"slow reports", [](DayPlan& plan) { plan.slow_reports = true; }},
+      {"tight limits", [](FaultScenario& plan) { plan.tight_limits = plan.odd_requests = true; }},
+      {"zone-bound long tasks", [](FaultScenario& plan) { plan.zone_bound = plan.long_tasks = true; }},
+      {"small values", [](FaultScenario& plan) { plan.small_values = true; }},
+      {"slow reports", [](FaultScenario& plan) { plan.slow_reports = true; }},
       {"one kind of trouble",
-       [](DayPlan& plan) {
-         const auto kinds = static_cast<std::uint64_t>(Trouble::count);
-         plan.only = {static_cast<Trouble>(plan.seed % kinds)};
+       [](FaultScenario& plan) {
+         const auto kinds = static_cast<std::uint64_t>(FaultKind::count);
+         plan.only = {static_cast<FaultKind>(plan.seed % kinds)};
        }},
   };
 }
 
 struct PlayedDay {
   const Family* family;
-  DayPlan plan;
+  FaultScenario plan;
   ActionDigest digest;
 };
 
 void play(PlayedDay& played) {
-  Day day(played.plan);
+  SimulatedCluster day(played.plan);
   day.observe([&played](const std::string& host, const Action& action) { played.digest.add(host, action); });
   day.play();
 }
@@ -74,7 +74,7 @@
   std::vector<PlayedDay> days;
   for (const Family& family : all) {
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
-      DayPlan plan;
+      FaultScenario plan;
       plan.seed = seed;
       plan.operators_ask = true;
       family.prepare(plan);
--- a/tests/late_answer_test.cpp
+++ b/tests/late_answer_test.cpp
@@ -176,20 +176,20 @@
 
 /// Controllers lose the state service one after the other, so that submissions are passed on to two peers at
 /// once; users ask everywhere, submit again and cancel within 0.3 s of an acceptance.
-DayPlan hasty_day(std::uint64_t seed) {
-  using enum Trouble;
-  DayPlan plan;
+FaultScenario hasty_day(std::uint64_t seed) {
+  using enum FaultKind;
+  FaultScenario plan;
   plan.seed = seed;
   plan.jobs = 300;
   plan.end = seconds(420);
   plan.hasty_users = true;
   plan.odd_requests = true;
   plan.verbose = std::getenv("DAY_VERBOSE") != nullptr;
-  plan.strikes = {{.at = seconds(5), .kind = state_answers_late, .span = seconds(140)},
-                  {.at = seconds(15), .kind = lose_state, .span = seconds(25), .node = 0},
-                  {.at = seconds(55), .kind = state_refuses, .span = seconds(25), .node = 1},
-                  {.at = seconds(95), .kind = lose_state, .span = seconds(25), .node = 2},
-                  {.at = seconds(130), .kind = crash, .span = seconds(4), .node = kLeader}};
+  plan.faults = {{.at = seconds(5), .kind = state_answers_late, .span = seconds(140)},
+                 {.at = seconds(15), .kind = lose_state, .span = seconds(25), .node = 0},
+                 {.at = seconds(55), .kind = state_refuses, .span = seconds(25), .node = 1},
+                 {.at = seconds(95), .kind = lose_state, .span = seconds(25), .node = 2},
+                 {.at = seconds(130), .kind = crash, .span = seconds(4), .node = kLeader}};
   return plan;
 }
 
@@ -199,7 +199,7 @@
   const std::uint64_t seeds = from_environment("SEEDS", 6);
   std::size_t failed = 0;
   for (std::uint64_t seed = first; seed < first + seeds; ++seed) {
-    Day day(hasty_day(seed));
+    SimulatedCluster day(hasty_day(seed));
     day.play();
     EXPECT_EQ(day.checker().summary(), "") << "seed " << seed;
     EXPECT_EQ(day.unfinished(), std::vector<std::string>{}) << "seed " << seed;
--- a/tests/meeting_test.cpp
+++ b/tests/meeting_test.cpp
@@ -9,35 +9,35 @@
 
 struct Meeting {
   const char* name;
-  std::vector<Strike> strikes;
+  std::vector<ScheduledFault> faults;
   std::vector<const char*> evidence;  ///< what has to have been seen
-  void (*also)(DayPlan&) = nullptr;
+  void (*also)(FaultScenario&) = nullptr;
   std::vector<const char*> never{};  ///< what must not have been seen
 };
 
-void long_tasks(DayPlan& plan) { plan.long_tasks = true; }
-void at_the_limit(DayPlan& plan) {
+void long_tasks(FaultScenario& plan) { plan.long_tasks = true; }
+void at_the_limit(FaultScenario& plan) {
   plan.tight_limits = true;
   plan.jobs = 40;
 }
-void zone_bound(DayPlan& plan) { plan.zone_bound = plan.long_tasks = true; }
-void overload(DayPlan& plan) {
+void zone_bound(FaultScenario& plan) { plan.zone_bound = plan.long_tasks = true; }
+void overload(FaultScenario& plan) {
   plan.rush = true;
   plan.jobs = 50;
 }
 
-std::vector<Strike> ten_leaders() {
-  std::vector<Strike> out{{.at = seconds(75), .kind = Trouble::state_outage, .span = seconds(25)}};
+std::vector<ScheduledFault> ten_leaders() {
+  std::vector<ScheduledFault> out{{.at = seconds(75), .kind = FaultKind::state_outage, .span = seconds(25)}};
   for (int i = 0; i < 10; ++i)
     out.push_back({.at = seconds(30 + 12 * i),
-                   .kind = Trouble::crash,
+                   .kind = FaultKind::crash,
                    .span = i % 2 == 0 ? millis(100) : seconds(4),
                    .node = kLeader});
   return out;
 }
 
 const std::vector<Meeting>& meetings() {
-  using enum Trouble;
+  using enum FaultKind;
   static const std::vector<Meeting> all{
       {"HeldReportsReachANewLeader",
        {{.at = seconds(40), .kind = lose_workers, .span = seconds(9), .node = kLeader, .hold = true},
@@ -187,22 +187,22 @@
 
 TEST_P(MeetingOfTroubles, KeepsEveryRuleAndFinishesTheWork) {
   const Meeting& meeting = meetings()[std::get<0>(GetParam())];
-  DayPlan plan;
+  FaultScenario plan;
   plan.seed = 3000 + std::get<1>(GetParam());
-  plan.strikes = meeting.strikes;
+  plan.faults = meeting.faults;
   plan.odd_requests = true;
   plan.jobs = 30;
   plan.end = seconds(420);
   plan.verbose = std::getenv("DAY_VERBOSE") != nullptr;
   if (meeting.also != nullptr) meeting.also(plan);
-  Day day(plan);
+  SimulatedCluster day(plan);
   day.play();
   EXPECT_EQ(day.checker().summary(), "");
   EXPECT_EQ(day.unfinished(), std::vector<std::string>{});
   EXPECT_EQ(day.wrong_sums(), 0u);
   EXPECT_EQ(day.seen("errors in the log"), 0u);
   EXPECT_EQ(day.checker().starts_after_cancel(), 0u);
-  EXPECT_EQ(day.seen("strikes"), meeting.strikes.size());
+  EXPECT_EQ(day.seen("strikes"), meeting.faults.size());
   for (const char* what : meeting.never) EXPECT_EQ(day.seen(what), 0u) << what;
   for (const char* what : meeting.evidence) EXPECT_GT(day.seen(what), 0u) << what;
 }
--- a/tests/sim/day.cpp
+++ b/tests/sim/day.cpp
@@ -18,7 +18,7 @@
 
 }  // namespace
 
-Settings settings_of_a_day(const DayPlan& plan) {
+Settings settings_for(const FaultScenario& plan) {
   Settings s;
   s.zones = {"east", "west"};
   s.teams = {{"blue", {16000, 0}, {48000, 0}}, {"green", {16000, 0}, {30000, 0}}};
@@ -36,9 +36,9 @@
   return s;
 }
 
-Day::Day(const DayPlan& plan)
+SimulatedCluster::SimulatedCluster(const FaultScenario& plan)
     : plan_(plan),
-      settings_(settings_of_a_day(plan)),
+      settings_(settings_for(plan)),
       random_(plan.seed),
       checker_(settings_),
       state_(settings_),
@@ -57,11 +57,11 @@
 
 // ---- the network ---------------------------------------------------------------------------------
 
-bool Day::is_cut(const std::string& a, const std::string& b) const {
+bool SimulatedCluster::is_cut(const std::string& a, const std::string& b) const {
   return cuts_.contains(std::minmax(a, b));
 }
 
-void Day::cut(const std::string& a, const std::string& b, bool hold, Micros span) {
+void SimulatedCluster::cut(const std::string& a, const std::string& b, bool hold, Micros span) {
   const std::pair<std::string, std::string> key = std::minmax(a, b);
   if (!cuts_.try_emplace(key, Cut{hold, {}}).second) return;
   after(span, [this, key] {
@@ -72,7 +72,7 @@
   });
 }
 
-void Day::send(const std::string& from, const std::string& to, std::function<void()> deliver) {
+void SimulatedCluster::send(const std::string& from, const std::string& to, std::function<void()> deliver) {
   if (auto it = cuts_.find(std::minmax(from, to)); it != cuts_.end()) {
     if (it->second.hold) it->second.parked.push_back(std::move(deliver)), ++seen_["messages held"];
     return;
@@ -83,11 +83,11 @@
 }
 
 /// A machine that hangs takes what was sent to it when it goes on.
-void Day::deliver(const std::string& to, std::function<void()> what, const std::string& from) {
+void SimulatedCluster::deliver(const std::string& to, std::function<void()> what, const std::string& from) {
   send(from, to, [this, to, what = std::move(what)] { when_awake(to, what); });
 }
 
-void Day::when_awake(const std::string& to, const std::function<void()>& what) {
+void SimulatedCluster::when_awake(const std::string& to, const std::function<void()>& what) {
   auto it = cloud_.machines().find(to);
   if (it != cloud_.machines().end() && it->second.worker && it->second.worker->hanging)
     after(millis(100), [this, to, what] { when_awake(to, what); });
@@ -97,13 +97,13 @@
 
 // ---- controllers ---------------------------------------------------------------------------------
 
-void Day::start(Node& node) {
+void SimulatedCluster::start(Node& node) {
   Settings s = settings_;
   s.host = node.host;
   s.zone = node.zone;
   for (const auto& other : nodes_)
     if (other->host != node.host) s.peers.push_back({other->host, other->zone, other->host});
-  if (plan_.sabotage == Sabotage::ignore_quota)
+  if (plan_.planted_defect == PlantedDefect::ignore_quota)
     for (Team& team : s.teams) team.limit.cpu *= 10;
   node.life = ++lives_;
   node.core = std::make_unique<Controller>(s, "life-" + std::to_string(node.life), node.life);
@@ -112,7 +112,7 @@
   tick(node, node.life);
 }
 
-void Day::crash(Node& node, Micros back_in) {
+void SimulatedCluster::crash(Node& node, Micros back_in) {
   if (!node.up) return;
   node.up = false;
   awards_ += node.core->net().counters().awards;
@@ -123,7 +123,8 @@
   after(back_in, [this, &node] { start(node); });
 }
 
-void Day::on_node(Node& node, std::uint64_t life, const std::function<void(Controller&)>& event) {
+void SimulatedCluster::on_node(Node& node, std::uint64_t life,
+                               const std::function<void(Controller&)>& event) {
   if (!node.up || node.life != life) return;
   if (now_ < node.frozen_until)
     return at(node.frozen_until, [this, &node, life, event] { on_node(node, life, event); });
@@ -134,7 +135,7 @@
   at(node.frozen_until, [this, &node, life] { finish(node, life); });
 }
 
-void Day::finish(Node& node, std::uint64_t life) {
+void SimulatedCluster::finish(Node& node, std::uint64_t life) {
   if (!node.up || node.life != life) return;
   for (Action& action : node.core->take_actions(steady(node))) {
     if (observer_) observer_(node.host, action);
@@ -142,12 +143,12 @@
   }
 }
 
-Micros Day::steady(const Node& node) const {
+Micros SimulatedCluster::steady(const Node& node) const {
   const auto now = static_cast<std::int64_t>(static_cast<double>(now_.count()) * (1.0 + node.drift));
   return Micros{now} + node.offset;
 }
 
-void Day::tick(Node& node, std::uint64_t life) {
+void SimulatedCluster::tick(Node& node, std::uint64_t life) {
   if (!node.up || node.life != life) return;
   on_node(node, life, [](Controller& c) { c.tick(); });
   if (node.up && node.life == life)
@@ -156,8 +157,8 @@
 }
 
 template <class Answer>
-void Day::call(Node& node, const std::string& to, Micros within, std::function<Answer()> serve,
-               std::function<void(Controller&, const Answer&)> done) {
+void SimulatedCluster::call(Node& node, const std::string& to, Micros within, std::function<Answer()> serve,
+                            std::function<void(Controller&, const Answer&)> done) {
   const std::uint64_t life = node.life;
   auto open = std::make_shared<bool>(true);
   auto conclude = [this, &node, life, open, done](const Answer& answer) {
@@ -186,29 +187,29 @@
 }
 
 template <class WithOrders>
-WithOrders Day::sabotaged(WithOrders message) const {
-  if (plan_.sabotage == Sabotage::keep_cancelled)
+WithOrders SimulatedCluster::with_planted_defect(WithOrders message) const {
+  if (plan_.planted_defect == PlantedDefect::keep_cancelled)
     std::erase_if(message.commands, [](const Command& o) { return o.kind == Command::Kind::stop; });
   std::erase_if(message.commands, [&](const Command& o) {
     if (o.kind != Command::Kind::start) return false;
     const JobSpec& spec = specs_.at(o.task.job);
-    return plan_.sabotage == Sabotage::start_nothing ||
-           (plan_.sabotage == Sabotage::starve_team && spec.team == "green") ||
-           (plan_.sabotage == Sabotage::starve_large && spec.tasks > 16);
+    return plan_.planted_defect == PlantedDefect::start_nothing ||
+           (plan_.planted_defect == PlantedDefect::starve_team && spec.team == "green") ||
+           (plan_.planted_defect == PlantedDefect::starve_large && spec.tasks > 16);
   });
   return message;
 }
 
-void Day::count_starts(const std::vector<Command>& orders) {
+void SimulatedCluster::count_starts(const std::vector<Command>& orders) {
   for (const Command& o : orders)
     if (o.kind == Command::Kind::start && checker_.ordered(o.task, now_) && plan_.verbose)
       std::printf("%9.3f ---- %s/%u is started though it is cancelled\n", in_seconds(now_),
                   o.task.job.c_str(), o.task.index);
 }
 
-void Day::perform(Node& node, Action action) {
+void SimulatedCluster::perform(Node& node, Action action) {
   struct Visitor {
-    Day& d;
+    SimulatedCluster& d;
     Node& node;
     void operator()(StoreCall& a) {
       if (std::holds_alternative<Transaction>(a.request) && d.now_ < d.transactions_late_until_ &&
@@ -246,7 +247,7 @@
       const std::string machine = a.request.address.substr(0, a.request.address.find(':'));
       d.call<CommandResponse>(
           node, machine, millis(1500),
-          [day = &d, machine, body = wire::request_of(d.sabotaged(std::move(a.request))).body] {
+          [day = &d, machine, body = wire::request_of(d.with_planted_defect(std::move(a.request))).body] {
             auto it = day->cloud_.machines().find(machine);
             if (it == day->cloud_.machines().end() || it->second.dead || !it->second.worker ||
                 it->second.worker->deaf)
@@ -303,7 +304,7 @@
   std::visit(Visitor{*this, node}, action);
 }
 
-std::uint64_t Day::awards() const {
+std::uint64_t SimulatedCluster::awards() const {
   std::uint64_t n = awards_;
   for (const auto& node : nodes_)
     if (node->core) n += node->core->net().counters().awards;
@@ -312,7 +313,7 @@
 
 // ---- workers -------------------------------------------------------------------------------------
 
-void Day::boot(Cloud::Machine& machine) {
+void SimulatedCluster::boot(Cloud::Machine& machine) {
   const std::string name = machine.name;
   double wait = 2 + chance() * 8;
   if (now_ < boots_badly_until_) wait *= chance() < 0.4 ? 1000 : 4;
@@ -337,7 +338,7 @@
   });
 }
 
-void Day::machines_step() {
+void SimulatedCluster::machines_step() {
   for (auto& [name, m] : cloud_.machines()) {
     if (!m.worker || m.dead) continue;
     m.worker->advance(now_);
@@ -351,7 +352,7 @@
   after(millis(100), [this] { machines_step(); });
 }
 
-void Day::report(Cloud::Machine& machine) {
+void SimulatedCluster::report(Cloud::Machine& machine) {
   Worker& worker = *machine.worker;
   if (worker.target.empty()) worker.target = nodes_[worker.next_node++ % nodes_.size()]->host;
   const std::string name = machine.name, host = worker.target;
@@ -389,19 +390,21 @@
       if (!node->up) return with_worker([this](Worker& w) { w.report_failed(now_); });
       const std::uint64_t request = node->next_request++;
       node->workers[request] = [this, node, name, with_worker](const HeartbeatReply& reply) {
-        HeartbeatReply sent = sabotaged(reply);
-        if (plan_.sabotage == Sabotage::start_cancelled)
+        HeartbeatReply sent = with_planted_defect(reply);
+        if (plan_.planted_defect == PlantedDefect::start_cancelled)
           for (const Command& o : reply.commands)
             if (o.kind == Command::Kind::stop)
               sent.commands.push_back({Command::Kind::start, o.task, o.attempt + 1'000'000, {}});
         count_starts(sent.commands);
-        if (plan_.sabotage == Sabotage::start_twice || plan_.sabotage == Sabotage::start_anywhere)
+        if (plan_.planted_defect == PlantedDefect::start_twice ||
+            plan_.planted_defect == PlantedDefect::start_anywhere)
           for (const Command& o : reply.commands) {
             if (o.kind != Command::Kind::start) continue;
             for (auto& [other_name, other] : cloud_.machines()) {
               if (other_name == name || !other.worker || other.dead) continue;
               const JobSpec& spec = specs_.at(o.task.job);
-              if (plan_.sabotage == Sabotage::start_anywhere && (!spec.zone || *spec.zone == other.zone))
+              if (plan_.planted_defect == PlantedDefect::start_anywhere &&
+                  (!spec.zone || *spec.zone == other.zone))
                 continue;
               // The order must look right to the worker: its own token and session.
               CommandRequest order{other.name, 1, reply.fencing_token + 1'000'000, {o}};
@@ -425,7 +428,7 @@
 
 // ---- users ---------------------------------------------------------------------------------------
 
-void Day::make_users() {
+void SimulatedCluster::make_users() {
   for (int i = 0; i < plan_.jobs; ++i) {
     auto user = std::make_unique<User>();
     JobSpec& s = user->spec;
@@ -470,7 +473,7 @@
 }
 
 /// Open connections stay where they are; a new one goes to a healthy controller.
-Day::Node& Day::node_for_user() {
+SimulatedCluster::Node& SimulatedCluster::node_for_user() {
   Node& node = *nodes_[static_cast<std::size_t>(pick(3))];
   const bool connected = plan_.hasty_users && node.up;
   if (connected || (node.up && node.core->healthy())) return node;
@@ -480,9 +483,11 @@
   return *chosen;
 }
 
-void Day::ask(const Question& question, const Reaction& answer) { ask_at(node_for_user(), question, answer); }
+void SimulatedCluster::ask(const Question& question, const Reaction& answer) {
+  ask_at(node_for_user(), question, answer);
+}
 
-void Day::ask_at(Node& node, const Question& question, const Reaction& answer) {
+void SimulatedCluster::ask_at(Node& node, const Question& question, const Reaction& answer) {
   if (!node.up) return answer(nullptr);
   auto open = std::make_shared<bool>(true);
   auto conclude = [open, answer](const UserReply* reply) {
@@ -496,7 +501,7 @@
 
 /// What follows an acceptance at once: questions everywhere, the submission once more, and perhaps a
 /// cancellation, after which all of them are asked again.
-void Day::hurry(User& user) {
+void SimulatedCluster::hurry(User& user) {
   if (std::exchange(user.hurried, true)) return;
   ++seen_["jobs asked about at once"];
   look_closely(user);
@@ -506,7 +511,7 @@
   after(millis(pick(300)), [this, &user] { cancel(user); });
 }
 
-void Day::look_closely(User& user) {
+void SimulatedCluster::look_closely(User& user) {
   for (auto& node : nodes_) {
     const Micros asked = now_;
     ask_at(
@@ -518,7 +523,7 @@
   }
 }
 
-void Day::submit(User& user, Micros since) {
+void SimulatedCluster::submit(User& user, Micros since) {
   const Micros asked = now_;
   ask([spec = user.spec](Controller& c, std::uint64_t r) { c.on_submit(r, spec); },
       [this, &user, since, asked](const UserReply* reply) {
@@ -535,19 +540,20 @@
       });
 }
 
-void Day::poll(User& user) {
+void SimulatedCluster::poll(User& user) {
   const Micros asked = now_;
   ask([id = user.spec.id](Controller& c, std::uint64_t r) { c.on_poll(r, id); },
       [this, &user, asked](const UserReply* reply) {
-        const bool ignored = plan_.sabotage == Sabotage::ignore_one && &user == users_.front().get();
+        const bool ignored =
+            plan_.planted_defect == PlantedDefect::ignore_one && &user == users_.front().get();
         if (reply == nullptr || reply->status == 503 || ignored) {
           checker_.unanswered(user.spec.id, now_);
         } else {
           UserReply seen = *reply;
-          if (plan_.sabotage == Sabotage::deny_jobs) seen.status = 404;
-          if (plan_.sabotage == Sabotage::call_done_early && seen.phase == JobPhase::running)
+          if (plan_.planted_defect == PlantedDefect::deny_jobs) seen.status = 404;
+          if (plan_.planted_defect == PlantedDefect::call_done_early && seen.phase == JobPhase::running)
             seen.phase = JobPhase::done;
-          if (plan_.sabotage == Sabotage::take_back && seen.phase == JobPhase::done &&
+          if (plan_.planted_defect == PlantedDefect::take_back && seen.phase == JobPhase::done &&
               user.last == JobPhase::done)
             seen.phase = JobPhase::running;
           checker_.told(user.spec.id, seen.status, seen.phase, asked, now_);
@@ -558,7 +564,7 @@
       });
 }
 
-void Day::cancel(User& user) {
+void SimulatedCluster::cancel(User& user) {
   user.cancelling = true;
   checker_.asked_to_cancel(user.spec.id);
   const Micros asked = now_;
@@ -578,13 +584,13 @@
       });
 }
 
-void Day::ask_about_nothing() {
+void SimulatedCluster::ask_about_nothing() {
   const std::string id = "run-7";
   ask([id](Controller& c, std::uint64_t r) { c.on_poll(r, id); },
       [this, id](const UserReply* reply) {
-        const int status = reply == nullptr                               ? 503
-                           : plan_.sabotage == Sabotage::confirm_anything ? 200
-                                                                          : reply->status;
+        const int status = reply == nullptr                                          ? 503
+                           : plan_.planted_defect == PlantedDefect::confirm_anything ? 200
+                                                                                     : reply->status;
         checker_.told(id, status, JobPhase::pending, now_, now_);
       });
   after(seconds(11), [this] { ask_about_nothing(); });
@@ -608,13 +614,13 @@
   ask([unfit](Controller& c, std::uint64_t r) { c.on_submit(r, unfit); },
       [this, id = unfit.id](const UserReply* reply) {
         const bool accepted =
-            plan_.sabotage == Sabotage::accept_unfit && reply != nullptr && reply->status == 422;
+            plan_.planted_defect == PlantedDefect::accept_unfit && reply != nullptr && reply->status == 422;
         if (reply != nullptr)
           checker_.told(id, accepted ? 201 : reply->status, JobPhase::pending, now_, now_);
       });
 }
 
-void Day::ask_as_operator() {
+void SimulatedCluster::ask_as_operator() {
   using What = AdminRequest::What;
   for (auto& node : nodes_) {
     for (const What what : {What::policy, What::shards, What::machines, What::jobs, What::negotiations})
@@ -627,19 +633,19 @@
 
 // ---- troubles ------------------------------------------------------------------------------------
 
-void Day::copy_later(std::function<void()> deliver) {
+void SimulatedCluster::copy_later(std::function<void()> deliver) {
   if (!plan_.troubles || chance() > 0.02) return;
   after(seconds(0.5 + chance() * 40), std::move(deliver));
 }
 
-std::string Day::a_machine() {
+std::string SimulatedCluster::a_machine() {
   std::vector<std::string> names;
   for (auto& [name, m] : cloud_.machines())
     if (m.worker && !m.dead) names.push_back(name);
   return names.empty() ? "" : names[static_cast<std::size_t>(pick(static_cast<int>(names.size())))];
 }
 
-void Day::calm() {
+void SimulatedCluster::calm() {
   for (auto& [name, m] : cloud_.machines())
     if (m.worker) {
       m.worker->sick = m.worker->hanging = false;
@@ -650,18 +656,19 @@
   after(seconds(35), [this] { checker_.calm(now_); });
 }
 
-void Day::trouble() {
+void SimulatedCluster::trouble() {
   if (now_ > plan_.trouble_until) return calm();
   // Drawn from the kinds that there were when days were found that are kept as tests.
-  const int kinds = static_cast<int>(plan_.wide ? Trouble::late_transactions : Trouble::controller_freezes);
-  start(plan_.only.empty() ? static_cast<Trouble>(pick(kinds))
+  const int kinds =
+      static_cast<int>(plan_.wide ? FaultKind::late_transactions : FaultKind::controller_freezes);
+  start(plan_.only.empty() ? static_cast<FaultKind>(pick(kinds))
                            : plan_.only[static_cast<std::size_t>(pick(static_cast<int>(plan_.only.size())))]);
   after(seconds(1 + chance() * 14), [this] { trouble(); });
 }
 
-void Day::start(Trouble kind) { strike(kind, nullptr); }
+void SimulatedCluster::start(FaultKind kind) { inject(kind, nullptr); }
 
-Day::Node& Day::leader() {
+SimulatedCluster::Node& SimulatedCluster::leader() {
   auto machines = [](const std::unique_ptr<Node>& n) {
     std::size_t all = 0;
     if (n->core)
@@ -672,7 +679,7 @@
                             [&](const auto& a, const auto& b) { return machines(a) < machines(b); });
 }
 
-std::vector<std::string> Day::busiest_machines(int count) {
+std::vector<std::string> SimulatedCluster::busiest_machines(int count) {
   std::vector<std::pair<std::size_t, std::string>> all;
   for (auto& [name, m] : cloud_.machines())
     if (m.worker && !m.dead) all.emplace_back(m.worker->busy(), name);
@@ -684,7 +691,7 @@
 }
 
 /// Within a fifth of a second, as the users of jobs with long to go would.
-void Day::cancel_some(int count, Micros machines_hang) {
+void SimulatedCluster::cancel_some(int count, Micros machines_hang) {
   for (const std::string& name : busiest_machines(machines_hang > Micros{0} ? count : 0)) {
     cloud_.machines().at(name).worker->hanging = true;
     ++seen_["machines hang at cancellations"];
@@ -703,7 +710,7 @@
 }
 
 /// As the last task of a job ends, its user cancels it, asks, and submits it again, at random.
-void Day::meet_ends() {
+void SimulatedCluster::meet_ends() {
   if (now_ >= ends_met_until_) return;
   for (auto& user : users_) {
     if (!user->accepted || user->end_met || user->over ||
@@ -720,7 +727,7 @@
 
 /// Once the troubles are over: a job that waits while a machine that fits has room, and its team is under its
 /// limit.
-void Day::look_for_neglect() {
+void SimulatedCluster::look_for_neglect() {
   after(seconds(1), [this] { look_for_neglect(); });
   if (!checker_.calm()) return;
   for (const auto& user : users_) {
@@ -742,7 +749,7 @@
   }
 }
 
-void Day::strike(Trouble kind, const Strike* planned) {
+void SimulatedCluster::inject(FaultKind kind, const ScheduledFault* planned) {
   Node& node = planned == nullptr         ? *nodes_[static_cast<std::size_t>(pick(3))]
                : planned->node == kLeader ? leader()
                                           : *nodes_[static_cast<std::size_t>(planned->node)];
@@ -778,73 +785,73 @@
     std::printf("%9.3f ---- trouble %d at %s or %s for %.1f s\n", in_seconds(now_), static_cast<int>(kind),
                 node.host.c_str(), victim.c_str(), in_seconds(span));
   switch (kind) {
-    case Trouble::crash:
+    case FaultKind::crash:
       return crash(node, back_in());
-    case Trouble::crash_all:
+    case FaultKind::crash_all:
       for (auto& n : nodes_) crash(*n, back_in());
       return;
-    case Trouble::lose_state:
+    case FaultKind::lose_state:
       return cut(node.host, kState, hold, span);
-    case Trouble::lose_workers:
+    case FaultKind::lose_workers:
       return cut_workers(node, "");
-    case Trouble::lose_peers:
+    case FaultKind::lose_peers:
       return cut_peers(node);
-    case Trouble::lose_state_and_peers:
+    case FaultKind::lose_state_and_peers:
       cut(node.host, kState, hold, span);
       return cut_peers(node);
-    case Trouble::state_outage:
+    case FaultKind::state_outage:
       state_.outage(true, now_);
       state_out_ = true;
       return after(lasts(2, 16), [this] {
         state_.outage(false, now_);
         state_out_ = false;
       });
-    case Trouble::state_slow:
+    case FaultKind::state_slow:
       state_slowness_ = 30;
       return after(span, [this] { state_slowness_ = 1; });
-    case Trouble::state_flicker:
+    case FaultKind::state_flicker:
       for (auto& n : nodes_) cut(n->host, kState, hold, lasts(1, 4));
       return;
-    case Trouble::machine_dies:
+    case FaultKind::machine_dies:
       return with_victim([this](Cloud::Machine& m) {
         for (const auto& [id, spec] : specs_)
           if ((spec.zone || spec.one_zone) && checker_.runs(id, m.name)) ++seen_["zone-bound tasks lost"];
         cloud_.die(m);
       });
-    case Trouble::machine_hangs:
+    case FaultKind::machine_hangs:
       with_victim([](Cloud::Machine& m) { m.worker->hanging = true; });
       return after(lasts(2, 11),
                    [with_victim] { with_victim([](Cloud::Machine& m) { m.worker->hanging = false; }); });
-    case Trouble::machine_sick:
+    case FaultKind::machine_sick:
       return with_victim([](Cloud::Machine& m) { m.worker->sick = true; });
-    case Trouble::machine_cut:
+    case FaultKind::machine_cut:
       for (auto& n : nodes_)
         for (const std::string& name : victims) cut(n->host, name, hold, span);
       return;
-    case Trouble::machine_deaf:
+    case FaultKind::machine_deaf:
       with_victim([](Cloud::Machine& m) { m.worker->deaf = true; });
       // A drawn one stays so until all is calm.
       if (planned != nullptr)
         after(span, [with_victim] { with_victim([](Cloud::Machine& m) { m.worker->deaf = false; }); });
       return;
-    case Trouble::machine_restarts:
+    case FaultKind::machine_restarts:
       return with_victim([this](Cloud::Machine& m) { m.worker->restart(now_); });
-    case Trouble::cloud_outage:
+    case FaultKind::cloud_outage:
       cloud_.outage(true);
       return after(span, [this] { cloud_.outage(false); });
-    case Trouble::zones_apart:
+    case FaultKind::zones_apart:
       for (auto& n : nodes_) cut_workers(*n, "west");
       return;
-    case Trouble::peers_refuse:
+    case FaultKind::peers_refuse:
       for (auto& n : nodes_) cut_peers(*n);
       return;
-    case Trouble::controller_freezes:
+    case FaultKind::controller_freezes:
       node.freezes_for = planned != nullptr ? span : seconds(0.2 + chance() * chance() * 30);
       return;
-    case Trouble::state_refuses:
+    case FaultKind::state_refuses:
       refused_hosts_.insert(node.host);
       return after(span, [this, host = node.host] { refused_hosts_.erase(host); });
-    case Trouble::zone_cut:
+    case FaultKind::zone_cut:
       for (auto& n : nodes_) {
         if (n->zone != "west") {
           cut_workers(*n, "west");
@@ -856,38 +863,38 @@
         cut(n->host, kCloud, hold, span);
       }
       return;
-    case Trouble::machine_hangs_on:
+    case FaultKind::machine_hangs_on:
       with_victim([](Cloud::Machine& m) { m.worker->hanging = true; });
       return after(lasts(4, 30),
                    [with_victim] { with_victim([](Cloud::Machine& m) { m.worker->hanging = false; }); });
-    case Trouble::machines_boot_badly:
+    case FaultKind::machines_boot_badly:
       boots_badly_until_ = now_ + span;
       return;
-    case Trouble::late_transactions:
+    case FaultKind::late_transactions:
       transactions_late_until_ = now_ + span;
       return;
-    case Trouble::late_reports:
+    case FaultKind::late_reports:
       reports_late_until_ = now_ + span;
       return;
-    case Trouble::machines_mute:
+    case FaultKind::machines_mute:
       with_victim([](Cloud::Machine& m) { m.worker->mute = true; });
       return after(span, [with_victim] { with_victim([](Cloud::Machine& m) { m.worker->mute = false; }); });
-    case Trouble::cancel_now:
+    case FaultKind::cancel_now:
       return cancel_some(planned == nullptr ? 4 : planned->count, span);
-    case Trouble::meet_ends:
+    case FaultKind::meet_ends:
       ends_met_until_ = now_ + span;
       return;
-    case Trouble::state_answers_late:
+    case FaultKind::state_answers_late:
       answers_late_until_ = now_ + span;
       return;
-    case Trouble::count:
+    case FaultKind::count:
       return;
   }
 }
 
 // ---- the day -------------------------------------------------------------------------------------
 
-void Day::play() {
+void SimulatedCluster::play() {
   for (auto& node : nodes_) after(millis(pick(1000)), [this, node = node.get()] { start(*node); });
   for (auto& user : users_)
     at(user->submit_at, [this, u = user.get()] {
@@ -898,9 +905,9 @@
   after(seconds(9), [this] { ask_about_nothing(); });
   if (plan_.operators_ask) after(seconds(17), [this] { ask_as_operator(); });
   after(seconds(1), [this] { look_for_neglect(); });
-  for (const Strike& planned : plan_.strikes)
-    at(planned.at, [this, &planned] { strike(planned.kind, &planned); });
-  if (!plan_.strikes.empty())
+  for (const ScheduledFault& planned : plan_.faults)
+    at(planned.at, [this, &planned] { inject(planned.kind, &planned); });
+  if (!plan_.faults.empty())
     at(plan_.trouble_until, [this] { calm(); });
   else if (plan_.troubles)
     at(plan_.trouble_from, [this] { trouble(); });
@@ -922,7 +929,7 @@
                   overview::machines(node->core->state()).dump(1).c_str());
 }
 
-std::set<std::string> Day::passed_over() const {
+std::set<std::string> SimulatedCluster::passed_over() const {
   std::set<std::string> out;
   for (const auto& node : nodes_)
     for (const auto& [name, shard] : node->core->state().shards)
@@ -931,13 +938,13 @@
   return out;
 }
 
-std::size_t Day::deaf_machines() {
+std::size_t SimulatedCluster::deaf_machines() {
   std::size_t n = 0;
   for (auto& [name, m] : cloud_.machines()) n += m.worker && !m.dead && m.worker->deaf ? 1 : 0;
   return n;
 }
 
-std::vector<std::string> Day::unfinished() const {
+std::vector<std::string> SimulatedCluster::unfinished() const {
   std::vector<std::string> out;
   for (const auto& user : users_) {
     if (!user->accepted) {
--- a/tests/sim/day.h
+++ b/tests/sim/day.h
@@ -8,7 +8,7 @@
 namespace bendtide::sim {
 
 /// A planted fault, for seeing that the checkers see.
-enum class Sabotage {
+enum class PlantedDefect {
   none,
   start_twice,       ///< a start order goes to a second machine as well
   ignore_quota,      ///< every limit that the controllers know of is ten times the real one
@@ -27,7 +27,7 @@
 };
 
 /// Kinds of trouble; those of a day are drawn from all, or it has one kind only.
-enum class Trouble {
+enum class FaultKind {
   crash,
   crash_all,
   lose_state,            ///< one controller
@@ -62,9 +62,9 @@
 };
 
 /// A trouble at a set moment. The rest of a day's are drawn.
-struct Strike {
+struct ScheduledFault {
   Micros at{0};
-  Trouble kind = Trouble::crash;
+  FaultKind kind = FaultKind::crash;
   Micros span = seconds(10);  ///< how long it lasts; for a crash, until the process is back
   int node = 0;       ///< of the kinds that strike one controller; kLeader: the one with most machines
   int count = 1;      ///< machines with most tasks, or jobs
@@ -72,22 +72,22 @@
 };
 constexpr int kLeader = -1;
 
-struct DayPlan {
+struct FaultScenario {
   std::uint64_t seed = 1;
   bool troubles = true;
-  Sabotage sabotage = Sabotage::none;
+  PlantedDefect planted_defect = PlantedDefect::none;
   Micros trouble_from = seconds(20);
   Micros trouble_until = seconds(150);
   Micros end = seconds(330);
   int jobs = 24;
   bool rush = false;            ///< all jobs come at once
   bool hasty_users = false;     ///< small jobs, asked about everywhere, submitted again and cancelled at once
-  std::vector<Trouble> only;    ///< the kinds that it has; none: all
-  std::vector<Strike> strikes;  ///< if there are any, they are all that happens
-  bool zone_bound = false;      ///< every array has a rule of zones
-  bool long_tasks = false;      ///< of a minute or two, in arrays of a few tasks and more
-  bool odd_requests = false;    ///< users submit what can never run
-  bool tight_limits = false;    ///< teams are at their limit for most of the day
+  std::vector<FaultKind> only;  ///< the kinds that it has; none: all
+  std::vector<ScheduledFault> faults;  ///< if there are any, they are all that happens
+  bool zone_bound = false;             ///< every array has a rule of zones
+  bool long_tasks = false;             ///< of a minute or two, in arrays of a few tasks and more
+  bool odd_requests = false;           ///< users submit what can never run
+  bool tight_limits = false;           ///< teams are at their limit for most of the day
   /// All kinds, a controller in each zone, and late copies of calls to the state service; without, as days
   /// were before there was any of this.
   bool wide = true;
@@ -98,14 +98,14 @@
   bool verbose = false;        ///< prints the controllers' logs and the troubles
 };
 
-Settings settings_of_a_day(const DayPlan& plan = {});
+Settings settings_for(const FaultScenario& plan = {});
 
-class Day {
+class SimulatedCluster {
  public:
   /// Called with every action of a controller, right before it is performed.
   using ActionObserver = std::function<void(const std::string& host, const Action& action)>;
 
-  explicit Day(const DayPlan& plan);
+  explicit SimulatedCluster(const FaultScenario& plan);
   void observe(ActionObserver observer) { observer_ = std::move(observer); }
   void play();
 
@@ -186,7 +186,7 @@
 
   /// Orders as a planted fault lets them through.
   template <class WithOrders>
-  WithOrders sabotaged(WithOrders message) const;
+  WithOrders with_planted_defect(WithOrders message) const;
 
   // Workers and users.
   void boot(Cloud::Machine& machine);
@@ -205,8 +205,8 @@
   void ask_about_nothing();
   void ask_as_operator();
   void trouble();
-  void start(Trouble kind);
-  void strike(Trouble kind, const Strike* planned);
+  void start(FaultKind kind);
+  void inject(FaultKind kind, const ScheduledFault* planned);
   Node& leader();
   std::vector<std::string> busiest_machines(int count);
   void cancel_some(int count, Micros machines_hang);
@@ -217,7 +217,7 @@
   void copy_later(std::function<void()> deliver);
   void make_users();
 
-  DayPlan plan_;
+  FaultScenario plan_;
   ActionObserver observer_;
   Settings settings_;
   std::mt19937_64 random_;
--- a/tests/size_test.cpp
+++ b/tests/size_test.cpp
@@ -145,7 +145,7 @@
 
  private:
   static Settings settings() {
-    Settings s = settings_of_a_day();
+    Settings s = settings_for();
     s.host = "node-0";
     s.zone = "east";
     s.teams = {{"team", {100'000'000, 0}, {100'000'000, 0}}};
