--- a/lab/fault_injector.cpp
+++ b/lab/fault_injector.cpp
@@ -135,7 +135,7 @@
       2, 12, [&] { set(true); }, [set] { set(false); });
 }
 
-// ---- the state service ---------------------------------------------------------------------------
+// ---- the key-value store ---------------------------------------------------------------------------
 
 void FaultInjector::set_state_latency(double share, double longest_seconds) {
   for (int controller = 0; controller < kControllers; ++controller)
--- a/lab/laboratory.h
+++ b/lab/laboratory.h
@@ -1,4 +1,4 @@
-// What all parts of the laboratory share: its plan, its clock, the record of what happened and the checker of
+// What all shards of the laboratory share: its plan, its clock, the record of what happened and the checker of
 // the rules. Addresses are on loopback, numbered from one base port.
 #pragma once
 
--- a/lab/state_server.h
+++ b/lab/state_server.h
@@ -1,4 +1,4 @@
-// The state service's stand-in: one store, a port for each controller, and faults for each of them.
+// The key-value store's stand-in: one store, a port for each controller, and faults for each of them.
 #pragma once
 
 #include <array>
--- a/lab/worker_fleet.cpp
+++ b/lab/worker_fleet.cpp
@@ -144,7 +144,7 @@
   return message.dump();
 }
 
-/// Shows another machine the same orders, under a token that it must accept.
+/// Shows another machine the same commands, under a fencing token that it must accept.
 void WorkerFleet::start_elsewhere(const std::string& machine, const json& message) {
   for (const std::string& other : up()) {
     if (other == machine) continue;
@@ -156,7 +156,7 @@
   }
 }
 
-// ---- reports -------------------------------------------------------------------------------------
+// ---- heartbeats -------------------------------------------------------------------------------------
 
 io::Task<> WorkerFleet::live(std::string machine) {
   while (sim::Worker* self = worker(machine)) {
@@ -204,7 +204,7 @@
   self->report_answered(result.status, answer, lab_.now());
 }
 
-/// A copy of a report, which comes late and to any controller.
+/// A copy of a heartbeat, which comes late and to any controller.
 io::Task<> WorkerFleet::repeat_report(std::string body) {
   co_await lab_.loop.sleep(lab_.between(2, in_seconds(lab_.settings.worker_lease) * 1.6));
   const int controller = lab_.pick(kControllers);
--- a/lab/worker_fleet.h
+++ b/lab/worker_fleet.h
@@ -24,7 +24,7 @@
   void kill(const std::string& machine);
   /// Whether the way between a machine and a controller is cut, both ways.
   void set_cut(int controller, bool on) { cut_.at(static_cast<std::size_t>(controller)) = on; }
-  /// A share of the reports arrives once more, seconds later.
+  /// A share of the heartbeats arrives once more, seconds later.
   void set_late_reports(bool on) { late_reports_ = on; }
   /// Direct commands are held for up to this long before they are executed.
   void set_late_commands(Micros most) { late_commands_ = most; }
--- a/src/app/daemon.cpp
+++ b/src/app/daemon.cpp
@@ -185,7 +185,7 @@
 
 io::Task<> Daemon::accept_users() {
   io::Socket listener = io::Socket::listen(loop_, settings_.api_address, settings_.sockets);
-  // The rest of the sockets is for the services we call, the peers and direct orders.
+  // The rest of the sockets is for the services we call, the peers and pushed commands.
   const std::size_t most = settings_.sockets * 3 / 4;
   for (;;) {
     io::Socket socket = co_await listener.accept();
--- a/src/core/calls.h
+++ b/src/core/calls.h
@@ -11,7 +11,7 @@
 
 using Value = nlohmann::json;  ///< a stored record; its layout is ours (core/records.h)
 
-// ---- state service -------------------------------------------------------------------------------
+// ---- key-value store -------------------------------------------------------------------------------
 struct Compare {
   std::string key;
   std::uint64_t revision = 0;  ///< 0: the key does not exist
@@ -138,7 +138,7 @@
   std::uint64_t id = 0;
   Kind kind = Kind::poll;
   std::string job;
-  bool fresh = false;  ///< a poll that is worth a read of the state service
+  bool fresh = false;  ///< a poll that is worth a read of the key-value store
   JobSpec spec;        ///< of a submission
 };
 struct JobReply {
@@ -176,22 +176,22 @@
   std::uint64_t quota_revision = 0;
   Quota free_quota_share;
 };
-/// Hints: the receiver reads the state service afresh, and believes nothing else.
+/// Hints: the receiver reads the key-value store afresh, and believes nothing else.
 struct AwardNotice {
   std::string shard;
 };
 /// The last write of a job is made: nothing of it may run, wherever it was awarded to. Said to every
-/// controller, as parts change hands. This alone is acted on without a read: it can only stop what is over.
+/// controller, as shards change hands. This alone is acted on without a read: it can only stop what is over.
 struct JobEndNotice {
   std::string job;
 };
 struct ProgressNotice {
-  std::string shard;  ///< the part that owns the jobs
+  std::string shard;  ///< the shard that owns the jobs
 };
 struct FailbackRequest {
   std::string shard;
 };
-/// Said to every controller now and then: whether the state service answers the sender, and how many reports
+/// Said to every controller now and then: whether the key-value store answers the sender, and how many heartbeats
 /// it got lately from machines that the receiver holds.
 struct PeerHealth {
   bool store_responsive = false;
@@ -204,14 +204,14 @@
   Micros reply_ago{0};
   std::vector<TaskStatus> tasks;
 };
-/// The sender has let go of a part: the receiver may take it, over this very record.
+/// The sender has let go of a shard: the receiver may take it, over this very record.
 struct LeaseTransfer {
   std::string shard;
   std::uint64_t fencing_token = 0;
   bool asked_for = false;  ///< by the receiver; else the sender can't serve it
   std::vector<UnreachableMachine> unreachable;
 };
-/// Asks the holder of `from` to hand unused share of a team's limit to the part `to`.
+/// Asks the leader of `from` to hand unused share of a team's limit to the shard `to`.
 struct QuotaTransferRequest {
   std::string from;
   std::string to;
--- a/src/core/claims.cpp
+++ b/src/core/claims.cpp
@@ -22,7 +22,7 @@
   return {m.name, m.type, m.zone, m.spot, m.address, m.rented_at};
 }
 
-/// The block that a key names, if it is one of the part.
+/// The block that a key names, if it is one of the shard.
 std::optional<std::uint32_t> block_of(const std::string& key, const std::string& shard) {
   const auto pieces = records::split_key(key);
   if (pieces.size() != 3 || pieces[1] != shard) return std::nullopt;
--- a/src/core/claims.h
+++ b/src/core/claims.h
@@ -1,8 +1,8 @@
-// Which part each machine belongs to. A claim is written before the machine is put to any use, and a machine
+// Which shard each machine belongs to. A claim is written before the machine is put to any use, and a machine
 // is never claimed twice.
 //
-// Claims are kept in blocks, several machines in one record. What keeps two parts from claiming one machine
-// is the record of its home part (home_shard): every claim of a machine rewrites it, on condition that nobody
+// Claims are kept in blocks, several machines in one record. What keeps two shards from claiming one machine
+// is the record of its home shard (home_shard): every claim of a machine rewrites it, on condition that nobody
 // did since the claims were last read. So the claims of the machines of one home are made one after the
 // other, each in the knowledge of all before it.
 //
@@ -31,13 +31,13 @@
   void tick();
   /// A machine that nobody is known to have claimed: it is claimed for `part` with one of the next writes.
   void request(Shard& shard, Machine machine);
-  /// A machine of a part is up: its claim is to name its address.
+  /// A machine of a shard is up: its claim is to name its address.
   void on_machine_up(Shard& shard, const Machine& machine);
-  /// A machine of a part is gone.
+  /// A machine of a shard is gone.
   void remove(Shard& shard, const Machine& machine);
   /// Reads all claims once more, before long.
   void invalidate() { invalidated_ = true; }
-  /// All claims, as read for a part that is being loaded: its machines are added, not settled.
+  /// All claims, as read for a shard that is being loaded: its machines are added, not reconciled.
   void load(Shard& shard, const std::vector<KeyValue>& entries);
   void on_shard_lost(const std::string& shard);
 
@@ -45,7 +45,7 @@
     auto it = shard_of_.find(machine);
     return it == shard_of_.end() ? nullptr : &it->second;
   }
-  /// The part that takes a machine which nobody claimed: its zone's controllers come first.
+  /// The shard that takes a machine which nobody claimed: its zone's controllers come first.
   std::string home_shard(const std::string& machine, const std::string& zone) const;
 
  private:
--- a/src/core/cluster.h
+++ b/src/core/cluster.h
@@ -21,7 +21,7 @@
 struct PeerState {
   Micros heard_at{-1};
   bool store_responsive = false;
-  Micros our_workers_at{-1};  ///< when it last got reports that were for us
+  Micros our_workers_at{-1};  ///< when it last got heartbeats that were for us
 };
 
 /// What an answer that shows a job as unfinished is worth by the time it arrives.
@@ -36,10 +36,10 @@
   KeyValueClient store;
   std::vector<MachineType> catalogue;
   std::map<std::string, Shard> shards;       ///< held by this controller
-  std::map<std::string, ShardRoute> routes;  ///< of all parts
+  std::map<std::string, ShardRoute> routes;  ///< of all shards
   std::map<std::string, PeerState> peers;
   std::map<std::string, std::uint32_t>
-      redirected_heartbeats;    ///< reports sent on to each host, since they were told
+      redirected_heartbeats;    ///< heartbeats sent on to each host, since they were told
   Micros lease_valid_until{0};  ///< the end of our term on our own clock
   FinalStates final_states;
   std::uint64_t answers_not_acted_on = 0;  ///< since what they show was outlived or uncertain
@@ -88,8 +88,8 @@
 
   /// The one decision whether a part may act on a record or an answer that shows a job as unfinished: read or
   /// written by a request of ours that was made at `asked`. Every path that loads a job asks it. Only the
-  /// holder ends the jobs of its part, so that ends of this holding are in the history; an earlier holder may
-  /// have ended the job after `asked` if that is before the part was taken.
+  /// leader ends the jobs of its shard, so that ends of this holding are in the history; an earlier leader may
+  /// have ended the job after `asked` if that is before the shard was taken.
   Validity validity(const Shard& shard, const std::string& job, Micros asked) const {
     if (final_states.has_ended(job)) return Validity::outlived;
     const bool knows_all_ends = asked >= shard.acquired_at && final_states.remembers_since(asked);
@@ -109,7 +109,7 @@
   }
 
   /// A job is over, as was written, read or said by a peer (then it is not known how): nothing of it goes on
-  /// in any part held here, its own or one that it was awarded to. False if it is known to have ended
+  /// in any shard held here, its own or one that it was awarded to. False if it is known to have ended
   /// otherwise.
   bool record_job_end(const std::string& job, const std::optional<FinalState>& state) {
     bool agrees = true;
--- a/src/core/contract.cpp
+++ b/src/core/contract.cpp
@@ -203,7 +203,7 @@
   award(*shard, job, feasible.front());
 }
 
-/// Nobody has room under its own share; unused share may still be had, piece by piece: what each part has
+/// Nobody has room under its own share; unused share may still be had, piece by piece: what each shard has
 /// left may be less than one task takes.
 void ContractNet::request_quota(Shard& shard, const Job& job, const Negotiation& n) {
   std::vector<const Proposal*> rich;
@@ -292,7 +292,7 @@
                      // meanwhile.
                      if (!other || (other_revision != 0 && a.entries.front().revision != other_revision)) {
                        ++counters_.conflicts;
-                       // Its holder may not know: the word of an award to it can be lost.
+                       // Its leader may not know: the word of an award to it can be lost.
                        if (other) send(move.to, AwardNotice{move.to});
                        return finish_quota_move(move, false);
                      }
@@ -420,7 +420,7 @@
     if (job.spec.team != transfer.team || job.ended || job.waiting.empty()) continue;
     const Quota each = quota_of(job.spec.each);
     // A job that no machine can be had for does not hold on to share that others can use. Nor does one that
-    // can't start with what is left here: pieces go to the job that waits longest, or two parts would each
+    // can't start with what is left here: pieces go to the job that waits longest, or two shards would each
     // keep one for ever.
     if (job.unrentable || (transfer.waits_since < job.accepted && unused.holds(each) == 0)) continue;
     free -= each * (job.suspect() ? 1 : static_cast<std::int64_t>(job.waiting.size()));
--- a/src/core/contract.h
+++ b/src/core/contract.h
@@ -1,4 +1,4 @@
-// The bounded multi-round contract net between the parts: calls, proposals, awards, and the moving of shares.
+// The bounded multi-round contract net between the shards: calls, proposals, awards, and the moving of shares.
 //
 // A message is only ever a hint of room. What counts is one conditional write per winner: it compares the
 // version of both room records, so that one room is awarded once, and moves tasks and share together.
@@ -25,10 +25,10 @@
   /// Awarded tasks go once we can't tell any more whether they still are ours: their job may be cancelled. To
   /// be called before each answer to a worker, which renews its lease: no renewal without the stop.
   void stop_stale_awards(Shard& shard, Machine& m);
-  /// Applies the award records of a part when it is loaded.
+  /// Applies the award records of a shard when it is loaded.
   /// `asked`: when they were asked for.
   void load_awards(Shard& shard, const std::vector<KeyValue>& entries, Micros asked);
-  /// The end of finished tasks as other parts recorded it.
+  /// The end of finished tasks as other shards recorded it.
   void load_progress(Shard& shard, const std::vector<KeyValue>& entries, bool own_too);
 
   struct Counters {
@@ -54,7 +54,7 @@
   void request_quota(Shard& shard, const Job& job, const Negotiation& n);
   void mark_similar_refused(Shard& shard, const Job& refused);
   void award(Shard& shard, Job& job, const Proposal& best);
-  /// A write that moves share out of a part's room and perhaps an award with it.
+  /// A write that moves share out of a shard's room and perhaps an award with it.
   struct QuotaMove {
     std::string shard;
     std::uint64_t leadership_term = 0;
--- a/src/core/controller.cpp
+++ b/src/core/controller.cpp
@@ -65,7 +65,7 @@
 }
 
 std::vector<Action> Controller::take_actions(Micros steady) {
-  // Orders and writes carry the token, which outdates them. An answer has nothing of the kind: after such a
+  // Orders and writes carry the fencing token, which outdates them. An answer has nothing of the kind: after such a
   // pause our term may be over, and somebody else may have said more.
   const bool stood_still = steady - context_.now > kTimerMargin;
   std::vector<Action> out;
@@ -73,13 +73,13 @@
     std::vector<Action> batch;
     std::swap(batch, context_.actions);
     for (Action& action : batch) {
-      // Who holds a peer's part talks to itself.
+      // Who holds a peer's shard talks to itself.
       auto* send = std::get_if<PeerSend>(&action);
       auto* told = std::get_if<AnswerUser>(&action);
       auto* reply = send == nullptr ? nullptr : std::get_if<JobReply>(&send->message);
       if (stood_still && told != nullptr && !is_final(told->reply.phase)) told->reply.status = 503;
       if (stood_still && reply != nullptr && !is_final(reply->phase)) reply->status = 503;
-      // Nor may starts be sent for what may be cancelled by now. They count as not sent by the next report.
+      // Nor may starts be sent for what may be cancelled by now. They count as not sent by the next heartbeat.
       if (auto* call = std::get_if<WorkerCall>(&action); stood_still && call != nullptr)
         std::erase_if(call->request.commands,
                       [](const Command& o) { return o.kind == Command::Kind::start; });
@@ -216,7 +216,7 @@
 void Controller::loaded(Shard& shard, Micros asked, const std::vector<KeyValue>& live,
                         const std::vector<KeyValue>& owned_machines, const std::vector<KeyValue>& awards,
                         const std::vector<KeyValue>& done) {
-  // An earlier holder may have started anything on its machines.
+  // An earlier leader may have started anything on its machines.
   fleet_.ownership().load(shard, owned_machines);
   for (const KeyValue& entry : live) {
     auto record = records::live_job(entry.value);
@@ -257,7 +257,7 @@
       return;
     }
     if (a.outcome != Outcome::absent) return again();
-    // The first holder ever: an equal share of every limit, the first part with what is left over, so
+    // The first leader ever: an equal share of every limit, the first shard with what is left over, so
     // that they sum to the limit.
     records::QuotaAllocation quota_allocation;
     const auto shards = static_cast<std::int64_t>(context_.settings.controllers());
--- a/src/core/fleet.cpp
+++ b/src/core/fleet.cpp
@@ -1,4 +1,4 @@
-// Reports find their way to the part that the machine belongs to, here or at a peer.
+// Reports find their way to the shard that the machine belongs to, here or at a peer.
 #include "core/fleet.h"
 
 namespace bendtide {
@@ -6,7 +6,7 @@
 namespace {
 
 constexpr Micros kWatchEvery = millis(250);
-/// A report waits that long for a change of holder: its worker is still there to get the answer.
+/// A heartbeat waits that long for a change of leader: its worker is still there to get the answer.
 constexpr Micros kDeferFor = Settings::kWorkerPatience - Settings::kWorkerRetry;
 
 }  // namespace
@@ -31,12 +31,12 @@
   if (name == nullptr) return on_unclaimed(request, heartbeat, since);
   if (Shard* shard = state_.held_shard(*name)) {
     if (shard->ready()) return on_own_heartbeat(request, *shard, heartbeat);
-    return defer(request, heartbeat, since);  // the part is being loaded
+    return defer(request, heartbeat, since);  // the shard is being loaded
   }
   const std::string leader_of = state_.leader_of(*name);
   if (leader_of == state_.self()) return answer(request, 503);
-  // A holder that stands still would keep the worker waiting for longer than its lease lasts. It does better
-  // to wait here for a moment, until somebody has taken over the part.
+  // A leader that stands still would keep the worker waiting for longer than its lease lasts. It does better
+  // to wait here for a moment, until somebody has taken over the shard.
   const bool just_came = state_.now() - since < kDeferFor;
   if (!state_.reachable(leader_of) && just_came) return defer(request, heartbeat, since);
   answer(request, 421, leader_of);
@@ -49,7 +49,7 @@
 }
 
 void Fleet::on_unclaimed(std::uint64_t request, const Heartbeat& heartbeat, Micros since) {
-  // Only the holder of its home part claims a machine; everybody else need not read anything.
+  // Only the leader of its home shard claims a machine; everybody else need not read anything.
   const std::string home = ownership_.home_shard(heartbeat.machine, heartbeat.zone);
   Shard* shard = state_.held_shard(home);
   if (shard == nullptr) {
@@ -58,7 +58,7 @@
   }
   if (!shard->ready() || deleted_.contains(heartbeat.machine)) return answer(request, 503);
   defer(request, heartbeat, since);
-  // A machine that nobody claimed was never given a token: this one was claimed by somebody, or deleted.
+  // A machine that nobody claimed was never given a fencing token: this one was claimed by somebody, or deleted.
   if (heartbeat.fencing_token != 0) return ownership_.invalidate();
   ownership_.request(*shard, machine_from({heartbeat.machine, heartbeat.type, heartbeat.zone, heartbeat.spot,
                                            heartbeat.address, state_.context.wall}));
--- a/src/core/fleet.h
+++ b/src/core/fleet.h
@@ -1,4 +1,4 @@
-// Machines and what is on them: reports in, orders out, and the proofs that a task is off a machine.
+// Machines and what is on them: heartbeats in, commands out, and the proofs that a task is off a machine.
 #pragma once
 
 #include "core/claims.h"
@@ -18,15 +18,15 @@
   void on_heartbeat(std::uint64_t request, const Heartbeat& heartbeat);
   void on_command_response(std::uint64_t call, const CommandResponse& answer);
   void on_shard_ready(Shard& shard);
-  /// What the holder of a part knows of its machines that are silent, for the next one.
+  /// What the holder of a shard knows of its machines that are silent, for the next one.
   std::vector<UnreachableMachine> unreachable_machines(const Shard& shard) const;
-  /// The last holder's word on machines that we may never hear.
+  /// The last leader's word on machines that we may never hear.
   void restore_unreachable_machines(Shard& shard);
   void on_shard_lost(const std::string& shard) { ownership_.on_shard_lost(shard); }
 
-  /// Whether a worker can be reached: no order has token and session 0, and it says what it holds.
+  /// Whether a worker can be reached: no order has fencing token and incarnation 0, and it says what it holds.
   void probe(const std::string& address, std::function<void(bool)> done);
-  /// Sends the orders that should not wait for the next report.
+  /// Sends the commands that should not wait for the next heartbeat.
   void push_commands(Shard& shard);
   /// The machine and everything on it are gone.
   void gone(Shard& shard, const std::string& machine);
@@ -53,7 +53,7 @@
   };
 
   void on_unclaimed(std::uint64_t request, const Heartbeat& heartbeat, Micros since);
-  /// Answers a report, or keeps it for later; `since`: when it came.
+  /// Answers a heartbeat, or keeps it for later; `since`: when it came.
   void route_heartbeat(std::uint64_t request, const Heartbeat& heartbeat, Micros since);
   void defer(std::uint64_t request, const Heartbeat& heartbeat, Micros since);
   void on_own_heartbeat(std::uint64_t request, Shard& shard, const Heartbeat& heartbeat);
@@ -87,7 +87,7 @@
   static constexpr int kMissedAcknowledgementLimit = 3;
   static constexpr int kWeakEvidence = 1;                  ///< one message seems not to have reached it
   static constexpr int kStrongEvidence = 2;                ///< several can't have
-  static constexpr std::size_t kHandoverTaskLimit = 1500;  ///< tasks in a word to the next holder
+  static constexpr std::size_t kHandoverTaskLimit = 1500;  ///< tasks in a word to the next leader
   static constexpr std::size_t kFailedOn = 8;
   static constexpr std::size_t kRememberedDeleted = 4096;
   static constexpr std::size_t kCommandsPerMessage = 200;  ///< in one message: far below a line of 64 KiB
@@ -95,8 +95,8 @@
   ControllerState& state_;
   Hooks hooks_;
   MachineOwnership ownership_;
-  std::vector<Deferred> deferred_;  ///< reports that wait for a claim or for the part
-  std::set<std::string> deleted_;   ///< lately: a late copy of their reports brings none back
+  std::vector<Deferred> deferred_;  ///< heartbeats that wait for a claim or for the shard
+  std::set<std::string> deleted_;   ///< lately: a late copy of their heartbeats brings none back
   std::deque<std::string> deleted_order_;
   std::map<std::uint64_t, PushInFlight> pushes_in_flight_;
   std::map<std::uint64_t, std::function<void(bool)>> probes_;
--- a/src/core/fleet_commands.cpp
+++ b/src/core/fleet_commands.cpp
@@ -9,7 +9,7 @@
     auto it = shard.jobs.find(id.task.job);
     Job* job = it == shard.jobs.end() || id.task.index >= it->second.tasks.size() ? nullptr : &it->second;
     if (p.seen == Placement::Seen::ended) {
-      // Until its end is recorded, the worker's account is the only one of a finished task. And an attempt
+      // Until its end is recorded, the worker's status is the only one of a finished task. And an attempt
       // that a late direct start may still name must stay known to the worker, or it would run again.
       const bool recorded =
           job == nullptr || job->ended || p.cause != ExitCause::done || job->recorded[id.task.index];
@@ -81,7 +81,7 @@
   return in_time ? job.spec.save : Micros{0};
 }
 
-/// Whether something should not wait for the machine's next report.
+/// Whether something should not wait for the machine's next heartbeat.
 bool Fleet::urgent(const Machine& m) const {
   if (!m.reconciled || m.missed_acknowledgements > 0 || m.lost_pushes > 0) return true;
   return std::any_of(m.tasks.begin(), m.tasks.end(), [](const auto& t) {
@@ -110,11 +110,11 @@
       continue;
     }
     m.push_pending = false;
-    // A machine that is silent gets its orders with the answer to its next report.
+    // A machine that is silent gets its commands with the answer to its next heartbeat.
     if (m.push_in_flight || m.lease_expired || m.decommissioned || m.address.empty() || !urgent(m) ||
         (m.reconciled && now - m.last_status_at > state_.context.settings.heartbeat_interval * 3 / 2))
       continue;
-    // Before all that is on it is known, it is only shown the token. Its first session is number 1.
+    // Before all that is on it is known, it is only shown the fencing token. Its first incarnation is number 1.
     std::vector<Command> list = m.reconciled ? commands(shard, m, 0) : std::vector<Command>{};
     PushInFlight call{shard.name, shard.leadership_term, name, shard.fencing_token, now, {}};
     for (const Command& o : list) {
@@ -162,7 +162,7 @@
     if (p == m.tasks.end()) continue;
     --p->second.pushed_starts_in_flight;
     if (answer.outcome == CommandResponse::Outcome::unknown) {
-      // It may be executed at any later time under this token: raise it, and wait for the worker to show
+      // It may be executed at any later time under this fencing token: raise it, and wait for the worker to show
       // that.
       p->second.late_start_token = std::max(p->second.late_start_token, direct.fencing_token);
       shard->advance_token_soon = true;
@@ -175,7 +175,7 @@
   if (answer.heartbeat && answer.heartbeat->machine == m.name &&
       answer.heartbeat->fencing_token <= shard->fencing_token) {
     if (!m.reconciled && answer.outcome == CommandResponse::Outcome::refused) {
-      // It is shown the token once more.
+      // It is shown the fencing token once more.
       if (answer.heartbeat->incarnation > m.incarnation) begin_incarnation(m, answer.heartbeat->incarnation);
     } else if (believable(*shard, *answer.heartbeat) &&
                std::pair(answer.heartbeat->incarnation, answer.heartbeat->sequence_number) >
--- a/src/core/fleet_failures.cpp
+++ b/src/core/fleet_failures.cpp
@@ -7,17 +7,17 @@
 
 /// A zone may be cut off for that many of its workers' leases before its machines are given up.
 constexpr int kCutLeases = 8;
-constexpr int kLostPushLimit = 2;  ///< that many in a row, with a report after each, are a sign
+constexpr int kLostPushLimit = 2;  ///< that many in a row, with a heartbeat after each, are a sign
 
 }  // namespace
 
-/// Whether a report that came just now can have been sent after what we sent at `ours` could have reached the
-/// worker. While it waits for an answer it sends no other report: one that comes sooner was held back on its
-/// way, or what we answered was. Such a report says nothing of what reaches the machine.
+/// Whether a heartbeat that came just now can have been sent after what we sent at `ours` could have reached the
+/// worker. While it waits for an answer it sends no other heartbeat: one that comes sooner was held back on its
+/// way, or what we answered was. Such a heartbeat says nothing of what reaches the machine.
 bool Fleet::was_sent_after(Micros ours) const { return state_.now() - ours >= Settings::kWorkerPatience; }
 
-/// A cut may swallow one order and hold the reports that it is followed by. But the machine is sent another
-/// as soon as a report arrives: if that is lost too, and the machine reports again, nothing reaches it.
+/// A cut may swallow one order and hold the heartbeats that it is followed by. But the machine is sent another
+/// as soon as a heartbeat arrives: if that is lost too, and the machine reports again, nothing reaches it.
 void Fleet::note_lost_pushes(Shard& shard, Machine& m) {
   if (!std::exchange(m.push_lost, false)) return;
   shard.request_push(m);
@@ -55,7 +55,7 @@
       // Nobody renewed its lease: the worker has killed and forgotten everything.
       m.lease_expired = true;
       shard.set_reconciled(m, true);
-      // Its next session has begun. A held report of the old one would bring back tasks that are gone.
+      // Its next incarnation has begun. A held heartbeat of the old one would bring back tasks that are gone.
       ++m.incarnation;
       m.sequence_number = m.heartbeat_sequence_number = m.last_reply_sequence_number = 0;
       if (!m.tasks.empty()) state_.context.info("machine " + name + " is silent for its whole lease");
@@ -68,7 +68,7 @@
   // A cut is to be noticed before the first machine has been silent for long enough to be deleted.
   watch_zones(shard, s.longest_heartbeat_pause());
   for (auto& [name, m] : shard.machines) {
-    // Deaf: its reports arrive, but neither answers nor commands reach it.
+    // Deaf: its heartbeats arrive, but neither answers nor commands reach it.
     const bool deaf = m.missed_acknowledgements >= kMissedAcknowledgementLimit;
     const bool silent = (m.status_received || !m.tasks.empty()) && now - m.last_contact() > silence &&
                         !shard.cut_zones.contains(m.zone);
--- a/src/core/fleet_handover.cpp
+++ b/src/core/fleet_handover.cpp
@@ -1,4 +1,4 @@
-// What one holder of a part tells the next about machines that are silent.
+// What one holder of a shard tells the next about machines that are silent.
 #include "core/fleet.h"
 
 namespace bendtide {
@@ -24,8 +24,8 @@
   return out;
 }
 
-/// They are as if they had just reported: settled, and what may be on them is placed there until it is proved
-/// to be off. The last holder did nothing with the part after it said so, and we took it over its very
+/// They are as if they had just reported: reconciled, and what may be on them is placed there until it is proved
+/// to be off. The last leader did nothing with the shard after it said so, and we took it over its very
 /// record.
 void Fleet::restore_unreachable_machines(Shard& shard) {
   for (const UnreachableMachine& s : std::exchange(shard.handover, {})) {
--- a/src/core/fleet_reports.cpp
+++ b/src/core/fleet_reports.cpp
@@ -1,4 +1,4 @@
-// What a report tells of the tasks on its machine, and what follows from it.
+// What a heartbeat tells of the tasks on its machine, and what follows from it.
 #include "core/fleet.h"
 
 namespace bendtide {
@@ -23,7 +23,7 @@
 
 void Fleet::on_own_heartbeat(std::uint64_t request, Shard& shard, const Heartbeat& heartbeat) {
   if (heartbeat.fencing_token > shard.fencing_token) {
-    // Somebody was given a higher token: either we are superseded, or the machine came from elsewhere.
+    // Somebody was given a higher fencing token: either we are superseded, or the machine came from elsewhere.
     hooks_.invalidate_leases();
     shard.advance_token_soon = true;
     return answer(request, 503);
@@ -34,7 +34,7 @@
     return answer(request, 503);
   }
   Machine& m = it->second;
-  // The worker has one report in flight: what is not newer than one we answered is a copy, and nobody waits
+  // The worker has one heartbeat in flight: what is not newer than one we answered is a copy, and nobody waits
   // for the answer. It renews nothing.
   if (heartbeat.incarnation < m.incarnation ||
       (heartbeat.incarnation == m.incarnation && heartbeat.sequence_number <= m.heartbeat_sequence_number))
@@ -77,8 +77,8 @@
   state_.context.act(AnswerHeartbeat{request, std::move(reply)});
 }
 
-/// Stops for the tasks of jobs that this part does not have: they are over. True of any account, however old,
-/// and said with every answer, as each renews the lease: holders that follow one another within seconds would
+/// Stops for the tasks of jobs that this shard does not have: they are over. True of any status, however old,
+/// and said with every answer, as each renews the lease: leaders that follow one another within seconds would
 /// else keep the tasks of a cancelled job alive.
 std::vector<Command> Fleet::stops_for_unknown_tasks(const Shard& shard, const Heartbeat& heartbeat) const {
   std::vector<Command> out;
@@ -89,8 +89,8 @@
   return out;
 }
 
-/// Its lease runs from the beginning of the session, which we learn of by a refused or executed order as
-/// well: a worker that reaches no controller still gets orders. Without this its tasks would be given up, and
+/// Its lease runs from the beginning of the incarnation, which we learn of by a refused or executed order as
+/// well: a worker that reaches no controller still gets commands. Without this its tasks would be given up, and
 /// started elsewhere, while they run on for the rest of the new lease.
 void Fleet::begin_incarnation(Machine& m, std::uint64_t incarnation) {
   m.incarnation = incarnation;
@@ -98,8 +98,8 @@
   m.last_reply_at = state_.now();
 }
 
-/// An account that shows no token of this holding may be a late copy from before it, by any time: it may be
-/// answered, so that the worker learns the token, but nothing it says is believed.
+/// A status that shows no fencing token of this holding may be a late copy from before it, by any time: it may be
+/// answered, so that the worker learns the fencing token, but nothing it says is believed.
 bool Fleet::believable(const Shard& shard, const Heartbeat& heartbeat) const {
   return heartbeat.fencing_token >= shard.first_fencing_token;
 }
@@ -107,11 +107,11 @@
 void Fleet::apply(Shard& shard, Machine& m, const Heartbeat& heartbeat, bool is_heartbeat) {
   const Micros now = state_.now();
   if (heartbeat.incarnation > m.incarnation) {
-    // A new session begins with an empty machine.
+    // A new incarnation begins with an empty machine.
     release_all(shard, m);
     begin_incarnation(m, heartbeat.incarnation);
   }
-  // Lost, and yet there: it began the session that we expected at some moment unknown.
+  // Lost, and yet there: it began the incarnation that we expected at some moment unknown.
   if (m.lease_expired) m.last_reply_at = now;
   m.sequence_number = heartbeat.sequence_number;
   m.address = heartbeat.address;
@@ -136,7 +136,7 @@
   m.acknowledged_token = heartbeat.fencing_token;
   std::vector<AttemptId> off;
   for (auto& [id, p] : m.tasks) {
-    // From here on, a start sent under an older token is refused.
+    // From here on, a start sent under an older fencing token is refused.
     if (p.late_start_token != 0 && heartbeat.fencing_token > p.late_start_token) p.late_start_token = 0;
     const bool listed = p.last_listed_in == heartbeat.sequence_number;
     if (m.last_reply_sequence_number != 0 && p.start_sent_in == m.last_reply_sequence_number &&
@@ -146,7 +146,7 @@
     }
     if (listed || !is_heartbeat || p.pushed_starts_in_flight > 0 || p.late_start_token != 0) continue;
     // One that was there and is not listed is gone. A start that never showed is, too, if it is not wanted
-    // any more: the worker was done with our last answer before it sent this report.
+    // any more: the worker was done with our last answer before it sent this heartbeat.
     const bool was_there = p.seen != Placement::Seen::no;
     const bool never_took_effect = !p.wanted && p.start_sent_in < heartbeat.sequence_number;
     if (was_there || never_took_effect) off.push_back(id);
@@ -170,7 +170,7 @@
   if (job != nullptr && t.task.index >= job->tasks.size()) job = nullptr;
   auto it = m.tasks.find(id);
   if (it == m.tasks.end()) {
-    // Started by an earlier holder, or found late: it is ours to keep if the task is still to be done.
+    // Started by an earlier leader, or found late: it is ours to keep if the task is still to be done.
     Placement& p = shard.place(m, id, job);
     p.placed_at = state_.now();
     bool keep = false;
@@ -204,7 +204,7 @@
   shard.changed();
   if (p.pushed_fencing_token != 0) {
     // A repeat of the direct start would run the task here again, though it may be elsewhere or over. As long
-    // as the worker holds the attempt, ended, the repeat has no effect: keep it until the token is higher.
+    // as the worker holds the attempt, ended, the repeat has no effect: keep it until the fencing token is higher.
     // That is urgent if the task is to run again.
     p.late_start_token = std::max(p.late_start_token, p.pushed_fencing_token);
     (cause == ExitCause::done ? shard.advance_token_eventually : shard.advance_token_soon) = true;
--- a/src/core/holdings.cpp
+++ b/src/core/holdings.cpp
@@ -10,9 +10,9 @@
 constexpr Micros kReloadInterval = millis(1000);
 constexpr Micros kReloadSoon = millis(300);
 constexpr Micros kReloadAfterFailure = millis(200);
-constexpr Micros kTokenAdvanceInterval = millis(1000);  ///< every machine has to learn each new token
+constexpr Micros kTokenAdvanceInterval = millis(1000);  ///< every machine has to learn each new fencing token
 constexpr Micros kLazyTokenAdvanceInterval = seconds(8);
-constexpr Micros kTransferHoldOff = seconds(5);  ///< for the peer to take the part
+constexpr Micros kTransferHoldOff = seconds(5);  ///< for the peer to take the shard
 constexpr Micros kProbeInterval = seconds(2);
 constexpr std::size_t kProbedWorkers = 4;
 
@@ -45,7 +45,7 @@
             state_.store.failing() ? "the state service does not answer us" : "its workers can't reach us");
 }
 
-// ---- parts that a peer can serve better ------------------------------------------------------------
+// ---- shards that a peer can serve better ------------------------------------------------------------
 
 void ShardLeases::report_health() {
   next_health_report_ = state_.now() + kHealthReportInterval;
@@ -62,12 +62,12 @@
   if (health.your_heartbeats > 0) peer.our_workers_at = state_.now();
 }
 
-/// All its machines have been silent for longer than any pause between reports.
+/// All its machines have been silent for longer than any pause between heartbeats.
 bool ShardLeases::hears_no_worker(const Shard& shard) const {
   const Micros silence = state_.context.settings.longest_heartbeat_pause();
   const Micros since = state_.now() - silence;
   if (shard.acquired_at + silence > since) return false;
-  // A part whose machines are all deaf, or never came up, would go round for ever: its holder needs time to
+  // A shard whose machines are all deaf, or never came up, would go round for ever: its leader needs time to
   // tell.
   if (auto it = received_transfers_.find(shard.name);
       it != received_transfers_.end() && state_.now() - it->second < state_.context.settings.worker_lease * 2)
@@ -75,7 +75,7 @@
   std::size_t up = 0;
   for (const auto& [name, m] : shard.machines) {
     if (m.decommissioned || (!m.status_received && fleet_.booting(m))) continue;
-    // A deaf machine's reports come too: it is not us who can't hear, and no peer would do better.
+    // A deaf machine's heartbeats come too: it is not us who can't hear, and no peer would do better.
     if (m.last_heartbeat_at > since) return false;
     ++up;
   }
@@ -173,7 +173,7 @@
 void ShardLeases::reload() {
   if (reloading_) return;
   reloading_ = true;
-  // A holder that says nothing may have stopped: its part is to be taken as soon as its record is gone.
+  // A leader that says nothing may have stopped: its shard is to be taken as soon as its record is gone.
   const bool all_heard = std::all_of(state_.routes.begin(), state_.routes.end(), [&](const auto& route) {
     return state_.reachable(state_.leader_of(route.first));
   });
@@ -358,12 +358,12 @@
 void ShardLeases::fail_back(const std::string& name) {
   Shard* shard = state_.held_shard(name);
   if (shard == nullptr || name == state_.self() || shard->advancing_fencing_token) return;
-  // If the word is lost, the next look finds a record of this process and takes the part once more, until its
+  // If the word is lost, the next look finds a record of this process and takes the shard once more, until its
   // own host asks again.
   transfer_lease(*shard, name, true, "handed back");
 }
 
-// NOLINTNEXTLINE(performance-unnecessary-value-param): the caller's name may go with the part
+// NOLINTNEXTLINE(performance-unnecessary-value-param): the caller's name may go with the shard
 void ShardLeases::lose_shard(std::string shard, const char* why) {
   state_.context.info("gave up part " + shard + ": " + why);
   state_.shards.erase(shard);
--- a/src/core/holdings.h
+++ b/src/core/holdings.h
@@ -1,4 +1,4 @@
-// Which parts this controller holds: the lease, taking, bumping, handing back.
+// Which shards this controller holds: the lease, taking, bumping, handing back.
 #pragma once
 
 #include "core/fleet.h"
@@ -13,14 +13,14 @@
   ShardLeases(ControllerState& state, Fleet& fleet, Acquired on_acquired, Lost on_lost);
 
   void tick();
-  /// Rewrites our holding record, for a token above all that were ever given out.
+  /// Rewrites our holding record, for a fencing token above all that were ever given out.
   void advance_fencing_token(Shard& shard);
-  /// Another controller wants its own part back.
+  /// Another controller wants its own shard back.
   void fail_back(const std::string& shard);
   void on_peer_health(const std::string& host, const PeerHealth& health);
-  /// Another controller has let go of a part that it can't serve.
+  /// Another controller has let go of a shard that it can't serve.
   void on_lease_transfer(const LeaseTransfer& transfer_lease);
-  /// A write met a token that is not ours: find out.
+  /// A write met a fencing token that is not ours: find out.
   void invalidate() { next_reload_ = Micros{0}; }
 
  private:
@@ -44,7 +44,7 @@
   void transfer_lease(Shard& shard, const std::string& to, bool asked_for, const char* why);
   void probe_workers();
 
-  /// After we let go of our own part, we do not ask for it back for a while, nor before a worker of it has
+  /// After we let go of our own shard, we do not ask for it back for a while, nor before a worker of it has
   /// answered us if it was for their silence.
   struct TransferredShard {
     Micros until{0};
@@ -63,14 +63,14 @@
   bool reloading_ = false;
   Micros next_reload_{0};
   std::map<std::string, std::uint64_t>
-      acquiring_;  ///< parts whose taking is under way, and under which lease
+      acquiring_;  ///< shards whose taking is under way, and under which lease
   std::uint64_t leadership_terms_ = 0;
   Micros next_health_report_{0};
   std::map<std::string, TransferredShard> transferred_;
   std::map<std::string, Micros>
-      received_transfers_;  ///< parts that a peer could not serve and left to us, and when
+      received_transfers_;  ///< shards that a peer could not serve and left to us, and when
   std::map<std::string, LeaseTransfer>
-      handover_states_;  ///< the last one for each part: counts if it is of the record taken over
+      handover_states_;  ///< the last one for each shard: counts if it is of the record taken over
 };
 
 }  // namespace bendtide
--- a/src/core/invariants.h
+++ b/src/core/invariants.h
@@ -11,7 +11,7 @@
   final_state_stays,       ///< a job has one final state
   finished_job_stays_off,  ///< nothing of a job that is over is started
   answers_agree,           ///< no user is told two final states of a job, or that it is unknown after its end
-  tokens_grow,             ///< a part's token never goes back
+  tokens_grow,             ///< a shard's fencing token never goes back
   count
 };
 
--- a/src/core/job_history.h
+++ b/src/core/job_history.h
@@ -11,7 +11,7 @@
 
 namespace bendtide {
 
-/// The final state of a job, as the state service holds it.
+/// The final state of a job, as the key-value store holds it.
 struct FinalState {
   JobPhase phase = JobPhase::done;
   std::uint64_t done = 0;  ///< tasks
@@ -19,7 +19,7 @@
 
 class FinalStates {
  public:
-  /// The final state was written by this controller, or read from the state service. The first one learned
+  /// The final state was written by this controller, or read from the key-value store. The first one learned
   /// stays; false if this one differs from it.
   bool record_final(const std::string& job, const FinalState& state, Micros now);
   /// A peer has said that the job is over, though not how.
--- a/src/core/jobs.h
+++ b/src/core/jobs.h
@@ -25,7 +25,7 @@
   void on_query(const std::string& from_host, const JobQuery& query);
   void on_reply(const JobReply& reply);
 
-  /// Adds a job of a part that is being loaded.
+  /// Adds a job of a shard that is being loaded.
   static Job& load(Shard& shard, const records::LiveJob& record);
   /// Where a job is, as read just now.
   void learn(const records::LiveJob& record);
@@ -43,7 +43,7 @@
     std::size_t outstanding = 0;
     ReplyCallback respond;
   };
-  /// A submission on its way into the state service, and everybody who waits for it.
+  /// A submission on its way into the key-value store, and everybody who waits for it.
   struct Submission {
     records::LiveJob record;
     std::vector<ReplyCallback> callbacks;
@@ -65,7 +65,7 @@
 
   /// What this controller may say of a job on its own: final, or ours under a term that still runs.
   std::optional<JobStatus> from_memory(const std::string& id) const;
-  /// Whether our own part can't take jobs now, or can't write that it does.
+  /// Whether our own shard can't take jobs now, or can't write that it does.
   bool can_accept() const;
 
   // The same for users and for peers that pass their users' requests on; only the former may be passed on.
@@ -119,7 +119,7 @@
   };
   void write_final(const FinalWrite& write, const ReplyCallback& respond);
   void on_final_written(const FinalWrite& write, const StoreResponse& a, const ReplyCallback& respond);
-  /// The state service holds a final state already: that one counts, whatever this controller believes.
+  /// The key-value store holds a final state already: that one counts, whatever this controller believes.
   void read_final(const FinalWrite& write, const ReplyCallback& respond);
   void conclude(const FinalWrite& write, JobPhase phase, const ReplyCallback& respond);
   void settle(Shard& shard);
--- a/src/core/jobs_recording.cpp
+++ b/src/core/jobs_recording.cpp
@@ -135,7 +135,7 @@
     for (std::uint32_t index : r.tasks) {
       job.recorded[index] = true;
       std::erase(job.unrecorded, index);
-      // Its worker may forget it now; that need not be told before its next report.
+      // Its worker may forget it now; that need not be told before its next heartbeat.
     }
     if (!job.owner.empty()) owners.insert(job.owner);
   }
--- a/src/core/jobs_status.cpp
+++ b/src/core/jobs_status.cpp
@@ -68,7 +68,7 @@
     auto it = shard.jobs.find(id);
     if (it == shard.jobs.end() || !it->second.owner.empty()) continue;
     const Job& job = it->second;
-    // While its last write is under way, only the state service can tell.
+    // While its last write is under way, only the key-value store can tell.
     if (job.finalizing || job.ended) return std::nullopt;
     JobStatus known;
     known.done = job.done;
@@ -140,7 +140,7 @@
   if (state_.final_states.has_ended(read.job)) return read.respond(unavailable(read.job));
   learn(*live);
   if (Shard* shard = state_.ready_shard(live->shard)) load_if_current(*shard, *live, read.asked);
-  // The record is fresh, so the answer is right either way; the holder knows the counts.
+  // The record is fresh, so the answer is right either way; the leader knows the counts.
   const UserReply pending = known_reply(read.job, {});
   const std::string leader_of = state_.leader_of(live->shard);
   if (leader_of == state_.self() || !read.may_pass_on || !state_.reachable(leader_of))
@@ -159,7 +159,7 @@
   read.respond(known_reply(read.job, {state.phase, state.done, 0}));
 }
 
-/// The state service does not answer us: it may answer a peer, and its holder knows the job without it.
+/// The key-value store does not answer us: it may answer a peer, and its leader knows the job without it.
 void Jobs::on_record_unreadable(const JobRead& read) {
   if (!read.may_pass_on) return read.respond(unavailable(read.job));
   ask(peers(), {0, JobQuery::Kind::poll, read.job, true, {}}, kPassOnWithin, read.respond);
--- a/src/core/jobs_submission.cpp
+++ b/src/core/jobs_submission.cpp
@@ -161,7 +161,7 @@
 void Jobs::not_accepted(Batch& batch, const StoreResponse& a) {
   if (a.outcome == Outcome::conflict) hooks_.invalidate_leases();
   // Without an answer they may have been accepted, or may be yet: then a later poll, a repeated submission or
-  // the reading of the part's unfinished jobs finds them.
+  // the reading of the shard's unfinished jobs finds them.
   Shard* shard = state_.shard_in_term(batch.shard, batch.leadership_term);
   if (a.outcome == Outcome::unknown && shard != nullptr)
     shard->next_reread = std::min(shard->next_reread, state_.now() + kRereadSoon);
@@ -174,7 +174,7 @@
     const std::string& id = one.record.spec.id;
     if (a.outcome == Outcome::conflict &&
         (batch.jobs.size() == 1 || failed(records::live_key(id)) || failed(records::final_job_key(id)))) {
-      // Known already, or the part is no longer ours.
+      // Known already, or the shard is no longer ours.
       for (ReplyCallback& respond : one.callbacks)
         read_and_tell(
             id, [respond, id](const UserReply& r) { respond(r.status == 404 ? unavailable(id) : r); }, true);
--- a/src/core/part.h
+++ b/src/core/part.h
@@ -1,4 +1,4 @@
-// One part of the cluster as its holder sees it: jobs, machines, and the share of each team's limit.
+// One shard of the cluster as its leader sees it: jobs, machines, and the share of each team's limit.
 //
 // The safety of "a task runs on one machine at a time" rests on Placement: one exists for as long as the
 // task may be on that machine, and a task is placed again only once its placement is gone.
@@ -18,7 +18,7 @@
     waiting,   ///< to be started
     placed,    ///< on `machine`, or possibly
     done,      ///< finished, and recorded or about to be
-    elsewhere  ///< awarded to another part, or never ours
+    elsewhere  ///< awarded to another shard, or never ours
   };
   State state = State::waiting;
   Machine* machine = nullptr;
@@ -35,15 +35,15 @@
 struct Job {
   JobSpec spec;
   Micros accepted{0};         ///< wall clock
-  std::string owner;          ///< the part whose job it is, here by awards; empty: ours
+  std::string owner;          ///< the shard whose job it is, here by awards; empty: ours
   bool unreconciled = false;  ///< loaded at a take-over: its tasks may be on machines not yet seen
   bool finalizing = false;    ///< its last write is under way
   bool ended = false;         ///< over: nothing of it may start, and all of it has to go
   std::vector<Task> tasks;
   std::vector<std::uint32_t> waiting;  ///< exactly the tasks in state waiting
   std::uint32_t done = 0;
-  std::vector<bool> recorded;             ///< tasks whose end the state service holds
-  std::vector<std::uint32_t> unrecorded;  ///< done, but not in the state service yet
+  std::vector<bool> recorded;             ///< tasks whose end the key-value store holds
+  std::vector<std::uint32_t> unrecorded;  ///< done, but not in the key-value store yet
   std::uint32_t present = 0;              ///< placements of it that take room, of any attempt
   std::set<std::string> failed_on;        ///< machines on which a task of it failed
   bool succeeded = false;
@@ -105,16 +105,16 @@
   bool of_known_job = false;
   bool of_service = false;
   Micros ends_at{Micros::max()};     ///< expected, once it runs and if it ends by itself
-  std::uint64_t last_listed_in = 0;  ///< the last account of the worker that lists it
+  std::uint64_t last_listed_in = 0;  ///< the last status of the worker that lists it
   std::string image;
   double image_gb = 0;
   Micros placed_at{0};
   Micros running_since{0};
   Micros stop_requested_at{0};             ///< when it was first unwanted
-  std::uint64_t start_sent_in = 0;         ///< the last report whose answer carried its start
+  std::uint64_t start_sent_in = 0;         ///< the last heartbeat whose answer carried its start
   int pushed_starts_in_flight = 0;         ///< direct starts not answered yet
-  std::uint64_t pushed_fencing_token = 0;  ///< the last token under which it was started directly
-  /// A direct start under this token may still be executed (late or once more), until the worker has shown
+  std::uint64_t pushed_fencing_token = 0;  ///< the last fencing token under which it was started directly
+  /// A direct start under this fencing token may still be executed (late or once more), until the worker has shown
   /// a higher one. 0: none.
   std::uint64_t late_start_token = 0;
 
@@ -136,34 +136,34 @@
   bool in_use = false;  ///< its claim names its address: only then may anything be started on it
 
   std::uint64_t incarnation = 0;
-  std::uint64_t sequence_number = 0;  ///< of the newest account
+  std::uint64_t sequence_number = 0;  ///< of the newest status
   std::uint64_t heartbeat_sequence_number =
-      0;                         ///< of the newest report in this session: a repeat of it is a copy
-  bool status_received = false;  ///< an account under a token of this holding has come
+      0;                         ///< of the newest heartbeat in this incarnation: a repeat of it is a copy
+  bool status_received = false;  ///< a status under a fencing token of this holding has come
   bool reconciled = false;       ///< its tasks are all known: it was heard, or its lease ran out
   Micros last_status_at{0};      ///< steady clock
-  Micros last_heartbeat_at{0};   ///< when any report of it came, believed or not
-  /// When it was sent a token of this holding that it has not shown since. Not set by what was surely lost.
+  Micros last_heartbeat_at{0};   ///< when any heartbeat of it came, believed or not
+  /// When it was sent a fencing token of this holding that it has not shown since. Not set by what was surely lost.
   std::optional<Micros> token_sent_at;
-  Micros last_reply_at{0};                       ///< when we last received a report that we answered with 200
+  Micros last_reply_at{0};                       ///< when we last received a heartbeat that we answered with 200
   bool lease_expired = false;                    ///< its lease is surely over
-  std::uint64_t acknowledged_token = 0;          ///< in its newest account
-  std::uint64_t last_reply_sequence_number = 0;  ///< the last report that we answered with orders
-  std::uint64_t last_reply_token = 0;            ///< the token in that answer
+  std::uint64_t acknowledged_token = 0;          ///< in its newest status
+  std::uint64_t last_reply_sequence_number = 0;  ///< the last heartbeat that we answered with commands
+  std::uint64_t last_reply_token = 0;            ///< the fencing token in that answer
   Micros commands_sent_at{0};                    ///< when that answer was sent
-  bool push_lost = false;                        ///< a direct order got no answer since the last report
-  int lost_pushes = 0;                           ///< in a row, each followed by a report
+  bool push_lost = false;                        ///< a pushed commands got no answer since the last heartbeat
+  int lost_pushes = 0;                           ///< in a row, each followed by a heartbeat
   int missed_acknowledgements = 0;  ///< signs, in a row, that answers and commands don't reach it
   std::optional<Micros> preemption_notice_until;
   bool decommissioned = false;  ///< to be deleted; nothing is placed on it any more
   bool deleting = false;
   Micros idle_since{0};
-  Micros needed_at{0};                ///< when it last held anything that is not opportunistic
+  Micros needed_at{0};                ///< when it last held anything that is not best-effort
   std::set<std::string> failed_jobs;  ///< whose tasks failed on it since its last success
   bool quarantined = false;
   Micros cordoned_until{0};
-  bool push_in_flight = false;  ///< direct orders are under way
-  bool push_pending = false;    ///< in the part's list of machines to be told something at once
+  bool push_in_flight = false;  ///< pushed commands are under way
+  bool push_pending = false;    ///< in the shard's list of machines to be told something at once
   std::map<AttemptId, Placement> tasks;
   struct Image {
     Micros used{0};
@@ -172,7 +172,7 @@
   std::map<std::string, Image> images;  ///< cached, as far as we know
 
   Resources free() const { return size - used; }
-  /// The older of its last account that was believed (it may answer a command) and its last report.
+  /// The older of its last status that was believed (it may answer a command) and its last heartbeat.
   Micros last_contact() const { return std::min(last_status_at, last_heartbeat_at); }
   bool idle() const { return tasks.empty(); }
   /// Room of tasks that are going, or are expected to end by `when`.
@@ -196,7 +196,7 @@
   return m;
 }
 
-/// A job that has tasks to start, in the order in which its part serves them.
+/// A job that has tasks to start, in the order in which its shard serves them.
 struct QueueEntry {
   Job* job = nullptr;
   int missed_objectives = 0;  ///< objectives that it misses anyway
@@ -214,7 +214,7 @@
   bool outcome_unknown = false;  ///< a write without answer: its stamp has to be read
 };
 
-/// One record of machines that belong to the part.
+/// One record of machines that belong to the shard.
 struct OwnershipBlock {
   std::uint64_t revision = 0;
   bool dirty = false;            ///< machines of it are gone
@@ -227,13 +227,13 @@
   enum class Stage : std::uint8_t { loading, ready };
   std::string name;
   std::uint64_t fencing_token = 0;
-  std::uint64_t first_fencing_token = 0;  ///< of this holding: an account that shows less is from before it
+  std::uint64_t first_fencing_token = 0;  ///< of this holding: a status that shows less is from before it
   std::uint64_t leadership_term = 0;      ///< of this holding in this process
   Micros acquired_at{0};
   Stage stage = Stage::loading;
   bool advancing_fencing_token = false;
   Micros next_token_advance{0};
-  bool advance_token_soon = false;  ///< a higher token is needed to settle a pinned start
+  bool advance_token_soon = false;  ///< a higher fencing token is needed to settle a pinned start
   bool advance_token_eventually =
       false;  ///< and some day, for workers to forget ended attempts that were started directly
 
@@ -262,12 +262,12 @@
   Micros next_watch{0};
   std::map<std::string, Micros> cut_zones;  ///< whose machines can't be reached, and since when
   Micros cut_over{0};                       ///< when one of them was last reached again
-  bool has_unreconciled_jobs = false;       ///< some were loaded, and not all machines are settled yet
+  bool has_unreconciled_jobs = false;       ///< some were loaded, and not all machines are reconciled yet
   std::vector<std::string> push;            ///< machines to be told something at once
   std::vector<std::string> over;            ///< jobs that are ended, until nothing of them is left
   std::map<std::uint32_t, DoneSlot> done_slots;
   std::map<std::uint32_t, OwnershipBlock> ownership_blocks;
-  std::vector<UnreachableMachine> handover;  ///< by the last holder, for the loading
+  std::vector<UnreachableMachine> handover;  ///< by the last leader, for the loading
 
   bool ready() const { return stage == Stage::ready; }
   void changed() { next_pass = Micros{0}; }
@@ -292,11 +292,11 @@
     return !job.owner.empty() && now >= awards_valid_until;
   }
   /// Whether tasks of the job may be started. Asked right before a placement: a term may have ended, and
-  /// begun again without a word from the state service, since the queue was made.
+  /// begun again without a word from the key-value store, since the queue was made.
   bool may_start(const Job& job, Micros now) const {
     return job.can_start(now) && !job.unreconciled && !award_is_stale(job, now);
   }
-  /// Unique among all attempts that were ever made: tokens are, and they grow.
+  /// Unique among all attempts that were ever made: fencing tokens are, and they grow.
   std::uint64_t next_attempt() { return (fencing_token << 16) + ++starts; }
 
   // ---- sums, kept as things change ---------------------------------------------------------------
@@ -334,7 +334,7 @@
     m.reconciled = reconciled;
     count_usage(m, 1);
   }
-  /// Adds or takes away a machine, or what is on it, in the sums of the part.
+  /// Adds or takes away a machine, or what is on it, in the sums of the shard.
   void count_usage(const Machine& m, int sign) {
     if (!m.reconciled) {
       usage_unreconciled_ += quota_of(m.size) * sign;
@@ -344,7 +344,7 @@
       if (p.takes_room()) *p.usage += quota_of(p.each) * sign;
   }
 
-  /// What a team uses, or might: on a machine not settled any team may use all of it, and a task of a job we
+  /// What a team uses, or might: on a machine not reconciled any team may use all of it, and a task of a job we
   /// don't know counts for every team.
   Quota used(const std::string& team) const {
     auto it = usage_.find(team);
@@ -372,7 +372,7 @@
         job->second.present += static_cast<std::uint32_t>(sign);
   }
 
-  std::map<std::string, Quota> usage_;  ///< on settled machines, by team
+  std::map<std::string, Quota> usage_;  ///< on reconciled machines, by team
   Quota usage_of_unknown_;
   Quota usage_unreconciled_;
 };
--- a/src/core/policy.h
+++ b/src/core/policy.h
@@ -1,4 +1,4 @@
-// The operators' own settings: changed through the administration API only, kept in the state service.
+// The operators' own settings: changed through the administration API only, kept in the key-value store.
 #pragma once
 
 #include <optional>
@@ -10,7 +10,7 @@
 
 struct Policy {
   double idle_return_s = 20;     ///< an idle machine is returned after this long
-  double silence_reports = 3.0;  ///< a machine silent for this many report intervals may be deleted
+  double silence_reports = 3.0;  ///< a machine silent for this many heartbeat intervals may be deleted
   double call_again_s = 2;       ///< pause between two calls for proposals for one job
   double close_bids = 0.10;      ///< scores within this share of each other are close
   int call_rounds = 3;           ///< rounds of one negotiation at most
--- a/src/core/records.h
+++ b/src/core/records.h
@@ -1,13 +1,13 @@
-// The records kept in the state service, and their keys. The layout is bendtide's own.
+// The records kept in the key-value store, and their keys. The layout is bendtide's own.
 //
-//   hold/PART            who holds the part; attached to the holder's lease; its stamp is the part's token
-//   room/PART            the part's share of each team's limit; its stamp is the room version
-//   live/ID              the description of an unfinished job, and its part: written when it is accepted
+//   hold/PART            who holds the shard; attached to the leader's lease; its stamp is the shard's fencing token
+//   room/PART            the shard's share of each team's limit; its stamp is the room version
+//   live/ID              the description of an unfinished job, and its shard: written when it is accepted
 //   job/ID               the final state of a job: in the write that ends it, instead of live/ID
-//   done/PART/SLOT       finished tasks of unfinished jobs, as bitmaps, written by the part that ran them
-//   award/PART/ID/ROUND  tasks of another part's job awarded to PART
-//   claim/PART/BLOCK     machines that belong to a part
-//   claim/-/PART         rewritten with every claim of a machine whose home the part is (core/claims.h)
+//   done/PART/SLOT       finished tasks of unfinished jobs, as bitmaps, written by the shard that ran them
+//   award/PART/ID/ROUND  tasks of another shard's job awarded to PART
+//   claim/PART/BLOCK     machines that belong to a shard
+//   claim/-/PART         rewritten with every claim of a machine whose home the shard is (core/claims.h)
 //   catalogue            machine types, for restarts while the cloud is down
 //   policy               the operators' own settings
 #pragma once
@@ -64,7 +64,7 @@
 inline std::string award_key(const std::string& shard, const std::string& id, std::uint64_t round) {
   return award_prefix(shard) + id + "/" + std::to_string(round);
 }
-inline const std::string kHomeShards = "-";  ///< sorts before the name of any part
+inline const std::string kHomeShards = "-";  ///< sorts before the name of any shard
 inline std::string ownership_key(const std::string& shard, std::uint32_t block) {
   return "claim/" + shard + "/" + std::to_string(block);
 }
--- a/src/core/renter.cpp
+++ b/src/core/renter.cpp
@@ -244,14 +244,14 @@
 void Autoscaler::scale_out(Shard& shard) {
   if (creating_.contains(shard.name)) return;
   if (!unanswered_creations_.empty()) {
-    // The same charter again tells what it rented, and rents nothing twice.
+    // The same idempotency key again tells what it rented, and rents nothing twice.
     const auto [idempotency_key, what] = *unanswered_creations_.begin();
     return create_machines(shard, idempotency_key, what.first, what.second);
   }
   const std::map<Offering, MachinesWanted> wanted = machines_wanted(shard);
   if (wanted.empty()) return;
-  // One at a time, as the next pass sees what this one brought: opportunistic work last, else the largest, as
-  // orders are few.
+  // One at a time, as the next pass sees what this one brought: best-effort work last, else the largest, as
+  // commands are few.
   const auto& [offering, most] =
       *std::max_element(wanted.begin(), wanted.end(), [](const auto& a, const auto& b) {
         return std::pair(!a.second.best_effort, a.second.count) <
@@ -332,7 +332,7 @@
 void Autoscaler::decommission_stuck_machines(Shard& shard) {
   for (auto& [name, m] : shard.machines) {
     if (m.status_received || m.decommissioned || fleet_.booting(m)) continue;
-    // Behind a cut it may have been up before we took the part. But machines that never came up look like a
+    // Behind a cut it may have been up before we took the shard. But machines that never came up look like a
     // cut, and would keep their zone closed to renting for as long as they are kept.
     const Micros lease = state_.context.settings.worker_lease;
     const Micros patience = shard.cut_zones.contains(m.zone) ? lease * 3 / 2 : lease;
--- a/src/core/renter.h
+++ b/src/core/renter.h
@@ -29,12 +29,12 @@
   void scale_out(Shard& shard);
   void create_machines(Shard& shard, const std::string& idempotency_key, const Offering& offering, int count);
   void scale_in_idle_machines(Shard& shard);
-  /// Stops opportunistic work that alone keeps an ordinary machine rented.
+  /// Stops best-effort work that alone keeps an ordinary machine rented.
   void drain_best_effort(Shard& shard, Machine& m) const;
   void decommission_stuck_machines(Shard& shard);
   void delete_decommissioned_machines(Shard& shard);
   void adopt_orphaned_machines(Shard& shard);
-  /// Machines of one kind that are wanted, and whether by opportunistic work only.
+  /// Machines of one kind that are wanted, and whether by best-effort work only.
   struct MachinesWanted {
     int count = 0;
     bool best_effort = true;
@@ -69,8 +69,8 @@
   std::uint64_t next_call_ = 1;
   std::uint64_t idempotency_keys_ = 0;
   std::map<Offering, Micros> exhausted_until_;                            ///< refused lately
-  std::map<std::string, std::pair<Offering, int>> unanswered_creations_;  ///< charters to be repeated
-  std::set<std::string> creating_;                                        ///< parts with a rental under way
+  std::map<std::string, std::pair<Offering, int>> unanswered_creations_;  ///< idempotency key to be repeated
+  std::set<std::string> creating_;                                        ///< shards with a rental under way
   Micros next_catalogue_{0};
   bool reading_catalogue_ = false;
   Micros next_list_{0};
--- a/src/core/scheduler.h
+++ b/src/core/scheduler.h
@@ -1,4 +1,4 @@
-// Placement within one part: who goes first, on which machine, and who has to make room.
+// Placement within one shard: who goes first, on which machine, and who has to make room.
 #pragma once
 
 #include "core/fleet.h"
@@ -12,15 +12,15 @@
   /// Places what can be placed; leaves in each job how many tasks found no room. Does nothing unless
   /// something has changed since the last pass, or a while has gone by.
   void pass(Shard& shard);
-  /// Places on one machine what waited at the last pass, so that the answer to its report brings it new work.
+  /// Places on one machine what waited at the last pass, so that the answer to its heartbeat brings it new work.
   void fill(Shard& shard, Machine& machine);
-  /// How many tasks of a call this part could take, and how soon.
+  /// How many tasks of a call this shard could take, and how soon.
   struct Offer {
     std::uint32_t tasks = 0;
     Micros delay{0};
   };
   Offer offer(Shard& shard, const CallForProposals& call) const;
-  /// The share of a team's guarantee that falls to this part.
+  /// The share of a team's guarantee that falls to this shard.
   Quota guarantee(const Shard& shard, const std::string& team) const;
 
  private:
--- a/src/core/settings.h
+++ b/src/core/settings.h
@@ -23,7 +23,7 @@
 };
 
 struct Settings {
-  /// How long a worker waits for the answer to a report before it gives up on it (PROTOCOL).
+  /// How long a worker waits for the answer to a heartbeat before it gives up on it (PROTOCOL).
   static constexpr Micros kWorkerPatience = seconds(4);
   /// How long it waits then before it reports to the next controller (PROTOCOL).
   static constexpr Micros kWorkerRetry = seconds(1);
@@ -68,13 +68,13 @@
     return std::none_of(objectives.begin(), objectives.end(),
                         [&](const Objective& o) { return o.job_class == spec.job_class; });
   }
-  /// Longer than any pause between two reports of a worker that is well.
+  /// Longer than any pause between two heartbeats of a worker that is well.
   Micros longest_heartbeat_pause() const { return heartbeat_interval * 8 / 5 + seconds(1); }
-  /// The term of a part's lease. A holder may go on acting for a term after it lost the state service, and
+  /// The term of a shard's lease. A leader may go on acting for a term after it lost the key-value store, and
   /// its workers for their lease after that; both together have to stay below the time in which a
   /// cancelled job must be gone, with a third of the slack left as margin. Where the workers' lease allows,
-  /// it is short enough for them to report to the next holder before their lease is over, after waiting for
-  /// the one that stands still. It is not shorter than half of either, as outages of the state service have
+  /// it is short enough for them to report to the next leader before their lease is over, after waiting for
+  /// the one that stands still. It is not shorter than half of either, as outages of the key-value store have
   /// to be borne.
   Micros lease_term() const {
     const Micros longest{(cancel_within - worker_lease).count() * 2 / 3};
--- a/src/core/store.cpp
+++ b/src/core/store.cpp
@@ -8,7 +8,7 @@
 constexpr double kRateShare = 0.9;
 constexpr std::size_t kEntriesShown = 4;  ///< of an answer, in the log
 
-/// A request as the log shows it: its keys carry the ids of jobs and the names of parts.
+/// A request as the log shows it: its keys carry the ids of jobs and the names of shards.
 std::string describe(const StoreRequest& request) {
   struct Visitor {
     std::string operator()(const GetKey& get) { return "get " + get.key; }
--- a/src/core/store.h
+++ b/src/core/store.h
@@ -1,4 +1,4 @@
-// The core's client of the state service: keeps to its share of the published rates, bounds its queue, and
+// The core's client of the key-value store: keeps to its share of the published rates, bounds its queue, and
 // hands every answer to the one who asked.
 #pragma once
 
--- a/src/core/types.h
+++ b/src/core/types.h
@@ -1,4 +1,4 @@
-// The field's words: jobs, tasks, machines, reports and orders, free of any wire format.
+// The field's words: jobs, tasks, machines, heartbeats and commands, free of any wire format.
 #pragma once
 
 #include <algorithm>
@@ -133,7 +133,7 @@
   ExitCause cause = ExitCause::none;
 };
 
-/// A worker's account of its machine. (session, sequence) orders the accounts of one machine.
+/// A worker's status of its machine. (incarnation, sequence) commands the statuses of one machine.
 struct Heartbeat {
   std::string machine;
   std::string address;
--- a/src/wire/names.h
+++ b/src/wire/names.h
@@ -74,7 +74,7 @@
 inline constexpr char kAge[] = "ageS";
 inline constexpr char kMore[] = "more";
 
-// Fields of the state service.
+// Fields of the key-value store.
 inline constexpr char kKey[] = "path";
 inline constexpr char kValue[] = "v";
 inline constexpr char kStamp[] = "stamp";
--- a/src/wire/wire.cpp
+++ b/src/wire/wire.cpp
@@ -335,7 +335,7 @@
   return "{}";
 }
 
-// ---- state service -------------------------------------------------------------------------------
+// ---- key-value store -------------------------------------------------------------------------------
 
 HttpRequest request_of(const StoreRequest& request) {
   struct Visitor {
@@ -525,7 +525,7 @@
   auto parsed = heartbeat(body);
   if (auto* r = std::get_if<Heartbeat>(&parsed)) {
     out.heartbeat = std::move(*r);
-    // Without the worker's account, the orders may as well not have been answered.
+    // Without the worker's status, the commands may as well not have been answered.
     if (status == 200) out.outcome = CommandResponse::Outcome::executed;
   }
   return out;
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -80,7 +80,7 @@
   }
 }
 
-// Where the worker's lease leaves time for it, the next holder of a part takes over before its workers give
+// Where the worker's lease leaves time for it, the next holder of a shard takes over before its workers give
 // up.
 TEST(Config, TheTermLeavesWorkersTimeForTheNextHolder) {
   Settings s;
--- a/tests/day_test.cpp
+++ b/tests/day_test.cpp
@@ -128,7 +128,7 @@
   EXPECT_EQ(day.state().too_large(), 0u);
 }
 
-// They report between the silences of their worker's other tries, and so are never silent for long enough.
+// They heartbeat between the silences of their worker's other tries, and so are never silent for long enough.
 // And a part all of whose machines were deaf when it was taken was once handed round among the controllers
 // for ever.
 class DeafMachines : public testing::TestWithParam<std::uint64_t> {};
--- a/tests/holdings_test.cpp
+++ b/tests/holdings_test.cpp
@@ -1,4 +1,4 @@
-// Which parts a controller holds, event by event.
+// Which shards a controller holds, event by event.
 
 #include "core/holdings.h"
 
@@ -12,7 +12,7 @@
 using Outcome = StoreResponse::Outcome;
 
 // The record of a holding goes with the lease that it was written under. A taking that was carried out, while
-// only its answer was late, once counted under the next lease: the part was acted for without any record.
+// only its answer was late, once counted under the next lease: the shard was acted for without any record.
 TEST(LateAnswer, ToATakingUnderALeaseThatHasEndedTakesNothing) {
   for (const bool lease_ends : {true, false}) {
     HandAnswered t;
--- a/tests/late_answer_test.cpp
+++ b/tests/late_answer_test.cpp
@@ -1,4 +1,4 @@
-// Answers of the state service that arrive after other things were learned: none of them may bring back what
+// Answers of the key-value store that arrive after other things were learned: none of them may bring back what
 // is over, and no final state is written over another.
 
 #include <gtest/gtest.h>
@@ -11,7 +11,7 @@
 
 using Outcome = StoreResponse::Outcome;
 
-// The incident: the job was accepted, found in the state service by its cancellation, cancelled, and
+// The incident: the job was accepted, found in the key-value store by its cancellation, cancelled, and
 // forgotten here; then the answer to the write that had accepted it arrived. The job began anew and was done
 // in the end.
 TEST(LateAnswer, ToAnAcceptanceDoesNotBringBackACancelledJob) {
@@ -69,7 +69,7 @@
   EXPECT_TRUE(job.ended);
 }
 
-// A record that was asked for before the part was taken: an earlier holder may have ended the job since.
+// A record that was asked for before the shard was taken: an earlier leader may have ended the job since.
 TEST(LateAnswer, FromBeforeThePartWasTakenIsNotActedOn) {
   HandAnswered t;
   t.cancel();
@@ -94,7 +94,7 @@
   EXPECT_EQ(t.state.validity(t.shard, kTask.job, asked + millis(2)), Validity::current);
 }
 
-// The second line of defence: the state service itself refuses a final state over another.
+// The second line of defence: the key-value store itself refuses a final state over another.
 TEST(FinalState, IsWrittenOnceAndTheStoredOneCounts) {
   HandAnswered t;
   Job& job = t.add_job();
@@ -174,7 +174,7 @@
   return text == nullptr ? otherwise : std::strtoull(text, nullptr, 10);
 }
 
-/// Controllers lose the state service one after the other, so that submissions are passed on to two peers at
+/// Controllers lose the key-value store one after the other, so that submissions are passed on to two peers at
 /// once; users ask everywhere, submit again and cancel within 0.3 s of an acceptance.
 FaultScenario hasty_day(std::uint64_t seed) {
   using enum FaultKind;
--- a/tests/machine_test.cpp
+++ b/tests/machine_test.cpp
@@ -1,4 +1,4 @@
-// Event by event, what one part believes of a machine and what it answers: the proofs on which the rules
+// Event by event, what one shard believes of a machine and what it answers: the proofs on which the rules
 // rest.
 
 #include <gtest/gtest.h>
@@ -28,8 +28,8 @@
   EXPECT_TRUE(kept[0].reply.commands.empty());
 }
 
-// A worker that reaches no controller begins a new session in which orders still reach it. Its tasks were
-// once given up, and started elsewhere, a lease after the part was taken, while they ran on for the rest of
+// A worker that reaches no controller begins a new incarnation in which commands still reach it. Its tasks were
+// once given up, and started elsewhere, a lease after the shard was taken, while they ran on for the rest of
 // theirs.
 TEST(MuteMachine, IsNotGivenUpBeforeTheLeaseOfItsSessionIsOver) {
   HeldPart t;
@@ -43,7 +43,7 @@
   EXPECT_EQ(job.tasks[0].state, Task::State::waiting);
 }
 
-// What a cut held back comes all at once, and is one sign of deafness. One that goes on without our token is
+// What a cut held back comes all at once, and is one sign of deafness. One that goes on without our fencing token is
 // deaf.
 TEST(HeldReports, AreOneSignOfDeafness) {
   HeldPart t;
@@ -61,7 +61,7 @@
   EXPECT_TRUE(t.machine().decommissioned);
 }
 
-// A cut swallows a direct order and holds the reports that follow it: all of that was sent before anything of
+// A cut swallows a pushed commands and holds the heartbeats that follow it: all of that was sent before anything of
 // ours could have reached the worker. It once added up to a machine that is deleted though it is well.
 TEST(HeldReports, AndTheOrderLostInTheSameCutAreNoSignOfDeafness) {
   HeldPart t;
@@ -117,7 +117,7 @@
   EXPECT_TRUE(t.machine().decommissioned);
 }
 
-// A holder whose term was renewed after an outage once started, and kept alive, what was awarded to it
+// A leader whose term was renewed after an outage once started, and kept alive, what was awarded to it
 // before: the job had been cancelled meanwhile.
 TEST(AwardsInDoubt, AreNeitherStartedNorKeptAlive) {
   HeldPart t;
--- a/tests/meeting_test.cpp
+++ b/tests/meeting_test.cpp
@@ -47,7 +47,7 @@
        {{.at = seconds(40), .kind = zone_cut, .span = seconds(20), .hold = true},
         {.at = seconds(90), .kind = zone_cut, .span = seconds(16)}},
        {"messages held", "parts taken"}},
-      // All reports that the cut held arrive at once at the next holder: they once made their machine look
+      // All heartbeats that the cut held arrive at once at the next leader: they once made their machine look
       // deaf.
       {"AZoneIsCutAndItsPartsAreTakenMeanwhile",
        {{.at = seconds(40), .kind = zone_cut, .span = seconds(11), .hold = true},
@@ -140,7 +140,7 @@
         {.at = seconds(51), .kind = state_outage, .span = seconds(48)}},
        {"cancelled while one is refused", "cancelled at one moment"},
        long_tasks},
-      // A holder once acted on what it had read before the outage, until it read again.
+      // A leader once acted on what it had read before the outage, until it read again.
       {"CancelledAtTheRefusalAndDeafAfterwards",
        {{.at = seconds(50), .kind = state_refuses, .span = seconds(25), .node = 1},
         {.at = seconds(50), .kind = machine_deaf, .span = seconds(50), .count = 4},
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -8,7 +8,7 @@
 namespace bendtide::sim {
 namespace {
 
-/// A part with machines that are up, a catalogue and a cloud that is asked by hand.
+/// A shard with machines that are up, a catalogue and a cloud that is asked by hand.
 struct RentingPart : HeldPart {
   Scheduler scheduler{state, fleet};
   Autoscaler renter{state, fleet};
@@ -19,7 +19,7 @@
     shard.quota_shares = {{"t", {80'000, 0}}, {"guests", {80'000, 0}}};
     shard.machines.clear();
   }
-  /// Up, settled and heard a moment ago.
+  /// Up, reconciled and heard a moment ago.
   Machine& add_machine(const std::string& name, bool spot = false) {
     Machine& m = fleet.add(shard, machine_from({name, "small", "z", spot, name + ":1", context.wall}), true);
     m.size = {8000, 0, 64000};
--- a/tests/question_test.cpp
+++ b/tests/question_test.cpp
@@ -8,7 +8,7 @@
 namespace bendtide::sim {
 namespace {
 
-/// A controller that is asked by users; the state service's and peers' answers are given by hand.
+/// A controller that is asked by users; the key-value store's and peers' answers are given by hand.
 struct AskedController : HeldPart {
   Jobs jobs{state, {[](Shard&) {}, [] {}}};
   std::uint64_t next_request = 1;
@@ -35,7 +35,7 @@
       for (int i = 0; i < times; ++i) jobs.on_poll(next_request++, kTask.job);
     });
   }
-  /// The state service answers the read sent last.
+  /// The key-value store answers the read sent last.
   void read_answered(const StoreResponse& answer) {
     const std::uint64_t call = reads.back().call;
     collect([&] { state.store.on_answer(call, answer); });
--- a/tests/sim/checker.h
+++ b/tests/sim/checker.h
@@ -32,7 +32,7 @@
   /// Whether a task of the job waits though it could run, as the caller knows; called regularly.
   void could_run(const std::string& id, bool could, Micros now);
 
-  /// A start as a controller orders it; a machine may execute it later.
+  /// A start as a controller commands it; a machine may execute it later.
   /// Whether its job was called cancelled before.
   bool ordered(const TaskId& task, Micros now);
   /// Starts ordered after a user was told that the job is cancelled.
--- a/tests/sim/day.cpp
+++ b/tests/sim/day.cpp
@@ -406,7 +406,7 @@
               if (plan_.planted_defect == PlantedDefect::start_anywhere &&
                   (!spec.zone || *spec.zone == other.zone))
                 continue;
-              // The order must look right to the worker: its own token and session.
+              // The order must look right to the worker: its own fencing token and incarnation.
               CommandRequest order{other.name, 1, reply.fencing_token + 1'000'000, {o}};
               other.worker->orders(wire::request_of(order).body, now_);
               break;
--- a/tests/sim/day.h
+++ b/tests/sim/day.h
@@ -13,14 +13,14 @@
   start_twice,       ///< a start order goes to a second machine as well
   ignore_quota,      ///< every limit that the controllers know of is ten times the real one
   start_anywhere,    ///< a start order for a job bound to a zone goes to the other zone
-  keep_cancelled,    ///< stop orders are lost
+  keep_cancelled,    ///< stop commands are lost
   deny_jobs,         ///< polls for accepted jobs are answered 404
   confirm_anything,  ///< polls for unknown jobs are answered 200
   call_done_early,   ///< running jobs are called done
   take_back,         ///< jobs that are done are called running
-  start_nothing,     ///< start orders are lost
-  starve_team,       ///< start orders for one team's jobs are lost
-  starve_large,      ///< start orders for large jobs are lost
+  start_nothing,     ///< start commands are lost
+  starve_team,       ///< start commands for one team's jobs are lost
+  starve_large,      ///< start commands for large jobs are lost
   ignore_one,        ///< polls for one job get no answer
   start_cancelled,   ///< where a task is told to stop, it is started once more
   accept_unfit       ///< submissions that can never run are called accepted
@@ -41,7 +41,7 @@
   machine_hangs,
   machine_sick,
   machine_cut,
-  machine_deaf,      ///< its reports arrive, but neither answers nor commands reach it
+  machine_deaf,      ///< its heartbeats arrive, but neither answers nor commands reach it
   machine_restarts,  ///< back at once, with nothing on it
   cloud_outage,
   zones_apart,
@@ -53,10 +53,10 @@
   machines_boot_badly,  ///< late or never, for a while
   late_transactions,    ///< a share gets no answer, and is carried out 2 to 12 s later, after newer ones
   late_reports,         ///< copies of a share arrive from 2 s to well over a lease later
-  machines_mute,        ///< they reach no controller, while orders reach them
+  machines_mute,        ///< they reach no controller, while commands reach them
   cancel_now,           ///< users call off jobs that run, all at once; their machines hang meanwhile
   meet_ends,            ///< users cancel, ask and submit again as the last task of their job ends
-  state_answers_late,   ///< a share of the state service's answers comes up to a second after the request was
+  state_answers_late,   ///< a share of the key-value store's answers comes up to a second after the request was
                         ///< served
   count
 };
@@ -88,12 +88,12 @@
   bool long_tasks = false;             ///< of a minute or two, in arrays of a few tasks and more
   bool odd_requests = false;           ///< users submit what can never run
   bool tight_limits = false;           ///< teams are at their limit for most of the day
-  /// All kinds, a controller in each zone, and late copies of calls to the state service; without, as days
+  /// All kinds, a controller in each zone, and late copies of calls to the key-value store; without, as days
   /// were before there was any of this.
   bool wide = true;
   bool slow_reports = false;  ///< so that a deaf machine is heard before it counts as silent
   bool deaf_for_good = false;
-  bool small_values = false;   ///< the state service takes little at once
+  bool small_values = false;   ///< the key-value store takes little at once
   bool operators_ask = false;  ///< operators read every page of the administration API now and then
   bool verbose = false;        ///< prints the controllers' logs and the troubles
 };
@@ -125,7 +125,7 @@
     auto it = seen_.find(what);
     return it == seen_.end() ? 0 : it->second;
   }
-  /// How often a part's sums differed from what they stand for.
+  /// How often a shard's sums differed from what they stand for.
   std::size_t wrong_sums() const { return wrong_sums_; }
 
  private:
@@ -236,7 +236,7 @@
   };
   std::map<std::pair<std::string, std::string>, Cut> cuts_;
   double state_slowness_ = 1;
-  std::set<std::string> refused_hosts_;  ///< by the state service
+  std::set<std::string> refused_hosts_;  ///< by the key-value store
   Micros boots_badly_until_{0};
   Micros transactions_late_until_{0};
   Micros reports_late_until_{0};
--- a/tests/sim/hand_answered.h
+++ b/tests/sim/hand_answered.h
@@ -1,11 +1,11 @@
-// A controller whose calls to the state service are answered by hand, in any order and as late as wished.
+// A controller whose calls to the key-value store are answered by hand, in any order and as late as wished.
 #pragma once
 
 #include "sim/held_part.h"
 
 namespace bendtide::sim {
 
-/// A controller whose calls to the state service are answered by hand, in any order.
+/// A controller whose calls to the key-value store are answered by hand, in any order.
 struct HandAnswered : HeldPart {
   Jobs jobs{state, {[](Shard&) {}, [] {}}};
   std::vector<StoreCall> calls;
--- a/tests/sim/held_part.h
+++ b/tests/sim/held_part.h
@@ -8,7 +8,7 @@
 
 inline const TaskId kTask{"run-1", 0};
 
-/// A part taken a moment ago with token 10, whose one machine was in use by an earlier holder.
+/// A shard taken a moment ago with fencing token 10, whose one machine was in use by an earlier leader.
 struct HeldPart {
   static Settings settings() {
     Settings s;
--- a/tests/sim/services.cpp
+++ b/tests/sim/services.cpp
@@ -29,7 +29,7 @@
 
 }  // namespace
 
-// ---- state service -------------------------------------------------------------------------------
+// ---- key-value store -------------------------------------------------------------------------------
 
 void StateService::outage(bool on, Micros now) {
   expire(now);
--- a/tests/sim/services.h
+++ b/tests/sim/services.h
@@ -1,4 +1,4 @@
-// Stand-ins for the state service, the cloud and the workers, written to the published protocol: they take
+// Stand-ins for the key-value store, the cloud and the workers, written to the published protocol: they take
 // requests and give answers in its JSON, so that wire/ is tested along with the core.
 #pragma once
 
@@ -92,7 +92,7 @@
   bool out_ = false;
 };
 
-/// One machine's worker: sessions, tokens, leases, commands, images and tasks.
+/// One machine's worker: incarnations, fencing tokens, leases, commands, images and tasks.
 class Worker {
  public:
   struct Hooks {
@@ -104,7 +104,7 @@
 
   /// Lets time pass: fetches and runs tasks, and ends the lease.
   void advance(Micros now);
-  /// Whether a report is due; then its body.
+  /// Whether a heartbeat is due; then its body.
   bool wants_report(Micros now) const;
   std::string report(Micros now);
   void report_answered(int status, const std::string& body, Micros now);
--- a/tests/size_test.cpp
+++ b/tests/size_test.cpp
@@ -1,5 +1,5 @@
 // The core at the size of a grown deployment, measured in counts: what one event costs must not grow with the
-// machines and jobs there are. Counted are allocations, which repeat exactly, and calls to the state service.
+// machines and jobs there are. Counted are allocations, which repeat exactly, and calls to the key-value store.
 
 #include <gtest/gtest.h>
 
@@ -30,7 +30,7 @@
 
 constexpr std::uint32_t kTasksOfAMachine = 4;
 
-/// One controller with machines that run arrays, its state service and cloud answering at once.
+/// One controller with machines that run arrays, its key-value store and cloud answering at once.
 class ControllerState {
  public:
   explicit ControllerState(int machines)
@@ -134,7 +134,7 @@
     for (int i = 0; i < times; ++i) what(i);
     return (allocations - before) / static_cast<std::size_t>(times);
   }
-  std::string cut_zone;  ///< whose machines take no orders
+  std::string cut_zone;  ///< whose machines take no commands
   /// Every third machine is in the other zone.
   static std::string zone_of(const std::string& name) {
     return std::stoi(name.substr(2)) % 3 == 0 ? "west" : "east";
@@ -259,7 +259,7 @@
   EXPECT_EQ(large.too_large(), 0u);
 }
 
-// A restarted process reads everything once, and tells every machine its token without waiting for reports.
+// A restarted process reads everything once, and tells every machine its fencing token without waiting for heartbeats.
 TEST(Size, ATakeOverIsReadInFewCalls) {
   ControllerState large(kLarge);
   const std::size_t before = large.state_calls();
@@ -282,14 +282,14 @@
   EXPECT_LE(many, few * 12) << few;
 }
 
-// Machines for thousands of waiting tasks are rented in orders of the largest size, not one by one.
+// Machines for thousands of waiting tasks are rented in commands of the largest size, not one by one.
 TEST(Size, HundredsOfMachinesAreRentedInFewCalls) {
   ControllerState large(0);
   for (int i = 0; i < 100; ++i) large.submit(10'000 + i, 40);
   large.pass(30);
   EXPECT_GE(large.rented(), 900u);
   EXPECT_LE(large.cloud_calls(), 40u);
-  // Nothing can be on them while they boot: another holder does not wait for them.
+  // Nothing can be on them while they boot: another leader does not wait for them.
   large.restart();
   large.pass(3);
   EXPECT_EQ(large.parts_settled(), 1u);
