--- a/lab/history.h
+++ b/lab/history.h
@@ -6,7 +6,7 @@
 #include <iosfwd>
 #include <string>
 
-#include "core/time.h"
+#include "core/model/time.h"
 
 namespace bendtide::lab {
 
--- a/lab/laboratory.h
+++ b/lab/laboratory.h
@@ -1,5 +1,5 @@
-// What all shards of the laboratory share: its plan, its clock, the record of what happened and the checker of
-// the rules. Addresses are on loopback, numbered from one base port.
+// What all shards of the laboratory share: its plan, its clock, the record of what happened and the checker
+// of the rules. Addresses are on loopback, numbered from one base port.
 #pragma once
 
 #include <map>
--- a/lab/worker_fleet.cpp
+++ b/lab/worker_fleet.cpp
@@ -121,8 +121,8 @@
 
 void WorkerFleet::record_orders(const std::string& machine, const std::string& body, const char* how) {
   const json message = json::parse(body, nullptr, false);
-  if (!message.is_object() || !message.contains(kOrderList)) return;
-  for (const json& order : message.at(kOrderList))
+  if (!message.is_object() || !message.contains(kCommandList)) return;
+  for (const json& order : message.at(kCommandList))
     lab_.final_states.add(order.at(kTask).get<std::string>() + " attempt " + order.at(kAttempt).dump() +
                           ": " + machine + " is told " + how + " to " + order.at(kVerb).get<std::string>() +
                           " under token " + message.value(kToken, json(nullptr)).dump());
@@ -135,11 +135,11 @@
                                                                  : nullptr;
   if (dropped == nullptr && planted != PlantedFault::start_twice) return body;
   json message = json::parse(body, nullptr, false);
-  if (!message.is_object() || !message.contains(kOrderList)) return body;
+  if (!message.is_object() || !message.contains(kCommandList)) return body;
   json kept = json::array();
-  for (const json& order : message.at(kOrderList))
+  for (const json& order : message.at(kCommandList))
     if (dropped == nullptr || order.at(kVerb) != dropped) kept.push_back(order);
-  message[kOrderList] = kept;
+  message[kCommandList] = kept;
   if (planted == PlantedFault::start_twice) start_elsewhere(machine, message);
   return message.dump();
 }
--- a/src/app/config.h
+++ b/src/app/config.h
@@ -4,7 +4,7 @@
 #include <stdexcept>
 #include <string>
 
-#include "core/settings.h"
+#include "core/model/settings.h"
 
 namespace bendtide {
 
--- a/src/app/daemon.h
+++ b/src/app/daemon.h
@@ -7,7 +7,7 @@
 
 #include "app/metrics.h"
 #include "app/peer_link.h"
-#include "core/controller.h"
+#include "core/controller/controller.h"
 #include "io/http_client.h"
 #include "wire/wire.h"
 
--- a/src/app/metrics.h
+++ b/src/app/metrics.h
@@ -4,8 +4,8 @@
 #include <memory>
 #include <string>
 
-#include "core/invariants.h"
-#include "core/time.h"
+#include "core/model/time.h"
+#include "core/runtime/invariants.h"
 
 namespace prometheus {
 class Histogram;
--- a/src/core/controller.cpp
+++ b/src/core/controller/controller.cpp
@@ -1,6 +1,6 @@
-#include "core/controller.h"
+#include "core/controller/controller.h"
 
-#include "core/overview.h"
+#include "core/controller/overview.h"
 
 namespace bendtide {
 
@@ -65,8 +65,8 @@
 }
 
 std::vector<Action> Controller::take_actions(Micros steady) {
-  // Orders and writes carry the fencing token, which outdates them. An answer has nothing of the kind: after such a
-  // pause our term may be over, and somebody else may have said more.
+  // Orders and writes carry the fencing token, which outdates them. An answer has nothing of the kind: after
+  // such a pause our term may be over, and somebody else may have said more.
   const bool stood_still = steady - context_.now > kTimerMargin;
   std::vector<Action> out;
   while (!context_.actions.empty()) {
@@ -79,7 +79,8 @@
       auto* reply = send == nullptr ? nullptr : std::get_if<JobReply>(&send->message);
       if (stood_still && told != nullptr && !is_final(told->reply.phase)) told->reply.status = 503;
       if (stood_still && reply != nullptr && !is_final(reply->phase)) reply->status = 503;
-      // Nor may starts be sent for what may be cancelled by now. They count as not sent by the next heartbeat.
+      // Nor may starts be sent for what may be cancelled by now. They count as not sent by the next
+      // heartbeat.
       if (auto* call = std::get_if<WorkerCall>(&action); stood_still && call != nullptr)
         std::erase_if(call->request.commands,
                       [](const Command& o) { return o.kind == Command::Kind::start; });
--- a/src/core/controller.h
+++ b/src/core/controller/controller.h
@@ -4,10 +4,10 @@
 
 #include <memory>
 
-#include "core/contract.h"
-#include "core/holdings.h"
-#include "core/jobs.h"
-#include "core/renter.h"
+#include "core/jobs/jobs.h"
+#include "core/leases/shard_leases.h"
+#include "core/negotiation/contract_net.h"
+#include "core/provisioning/autoscaler.h"
 
 namespace bendtide {
 
--- a/src/core/overview.cpp
+++ b/src/core/controller/overview.cpp
@@ -1,4 +1,4 @@
-#include "core/overview.h"
+#include "core/controller/overview.h"
 
 namespace bendtide::overview {
 
--- a/src/core/overview.h
+++ b/src/core/controller/overview.h
@@ -1,7 +1,7 @@
 // What a person on call sees of a controller.
 #pragma once
 
-#include "core/contract.h"
+#include "core/negotiation/contract_net.h"
 
 namespace bendtide::overview {
 
--- a/src/core/jobs.cpp
+++ b/src/core/jobs/jobs.cpp
@@ -1,4 +1,4 @@
-#include "core/jobs.h"
+#include "core/jobs/jobs.h"
 
 namespace bendtide {
 
--- a/src/core/jobs.h
+++ b/src/core/jobs/jobs.h
@@ -4,7 +4,7 @@
 
 #include <deque>
 
-#include "core/cluster.h"
+#include "core/state/controller_state.h"
 
 namespace bendtide {
 
--- a/src/core/jobs_ending.cpp
+++ b/src/core/jobs/jobs_ending.cpp
@@ -1,5 +1,5 @@
 // The end of a job: its cancellation, its last write, and the stopping of what is left of it.
-#include "core/jobs.h"
+#include "core/jobs/jobs.h"
 
 namespace bendtide {
 
--- a/src/core/jobs_peers.cpp
+++ b/src/core/jobs/jobs_peers.cpp
@@ -1,5 +1,5 @@
 // Questions that controllers ask each other for their users.
-#include "core/jobs.h"
+#include "core/jobs/jobs.h"
 
 namespace bendtide {
 
--- a/src/core/jobs_recording.cpp
+++ b/src/core/jobs/jobs_recording.cpp
@@ -1,5 +1,5 @@
 // Finished tasks of unfinished jobs, recorded before their workers may forget them.
-#include "core/jobs.h"
+#include "core/jobs/jobs.h"
 
 namespace bendtide {
 
--- a/src/core/jobs_status.cpp
+++ b/src/core/jobs/jobs_status.cpp
@@ -1,5 +1,5 @@
 // What users are told of a job: from memory, from the record, or from the peer that holds it.
-#include "core/jobs.h"
+#include "core/jobs/jobs.h"
 
 namespace bendtide {
 
--- a/src/core/jobs_submission.cpp
+++ b/src/core/jobs/jobs_submission.cpp
@@ -1,5 +1,5 @@
 // Submissions: checked, gathered, written, and then told.
-#include "core/jobs.h"
+#include "core/jobs/jobs.h"
 
 namespace bendtide {
 
--- a/src/core/store.cpp
+++ b/src/core/kvstore/key_value_client.cpp
@@ -1,4 +1,4 @@
-#include "core/store.h"
+#include "core/kvstore/key_value_client.h"
 
 namespace bendtide {
 
--- a/src/core/store.h
+++ b/src/core/kvstore/key_value_client.h
@@ -7,7 +7,8 @@
 #include <functional>
 #include <unordered_map>
 
-#include "core/context.h"
+#include "core/runtime/context.h"
+#include "core/runtime/token_bucket.h"
 
 namespace bendtide {
 
@@ -60,8 +61,8 @@
 
   Context& context_;
   double write_burst_;  ///< in one burst
-  Budget calls_;
-  Budget writes_;
+  TokenBucket calls_;
+  TokenBucket writes_;
   Queue reads_;
   std::array<Queue, 3> transactions_;  ///< by rank
   std::unordered_map<std::uint64_t, InFlight> in_flight_;
--- a/src/core/holdings.cpp
+++ b/src/core/leases/shard_leases.cpp
@@ -1,4 +1,4 @@
-#include "core/holdings.h"
+#include "core/leases/shard_leases.h"
 
 namespace bendtide {
 
@@ -358,8 +358,8 @@
 void ShardLeases::fail_back(const std::string& name) {
   Shard* shard = state_.held_shard(name);
   if (shard == nullptr || name == state_.self() || shard->advancing_fencing_token) return;
-  // If the word is lost, the next look finds a record of this process and takes the shard once more, until its
-  // own host asks again.
+  // If the word is lost, the next look finds a record of this process and takes the shard once more, until
+  // its own host asks again.
   transfer_lease(*shard, name, true, "handed back");
 }
 
--- a/src/core/holdings.h
+++ b/src/core/leases/shard_leases.h
@@ -1,7 +1,7 @@
 // Which shards this controller holds: the lease, taking, bumping, handing back.
 #pragma once
 
-#include "core/fleet.h"
+#include "core/workers/fleet.h"
 
 namespace bendtide {
 
--- a/src/core/policy.cpp
+++ b/src/core/model/policy.cpp
@@ -1,4 +1,4 @@
-#include "core/policy.h"
+#include "core/model/policy.h"
 
 #include <cmath>
 
--- a/src/core/policy.h
+++ b/src/core/model/policy.h
@@ -4,7 +4,7 @@
 #include <optional>
 #include <string>
 
-#include "core/calls.h"
+#include "core/model/store_messages.h"
 
 namespace bendtide {
 
--- a/src/core/records.cpp
+++ b/src/core/model/records.cpp
@@ -1,4 +1,4 @@
-#include "core/records.h"
+#include "core/model/records.h"
 
 namespace bendtide::records {
 
--- a/src/core/records.h
+++ b/src/core/model/records.h
@@ -1,18 +1,20 @@
 // The records kept in the key-value store, and their keys. The layout is bendtide's own.
 //
-//   hold/PART            who holds the shard; attached to the leader's lease; its stamp is the shard's fencing token
-//   room/PART            the shard's share of each team's limit; its stamp is the room version
+//   hold/PART            who holds the shard; attached to the leader's lease; its stamp is the shard's
+//   fencing token room/PART            the shard's share of each team's limit; its stamp is the room version
 //   live/ID              the description of an unfinished job, and its shard: written when it is accepted
 //   job/ID               the final state of a job: in the write that ends it, instead of live/ID
 //   done/PART/SLOT       finished tasks of unfinished jobs, as bitmaps, written by the shard that ran them
 //   award/PART/ID/ROUND  tasks of another shard's job awarded to PART
 //   claim/PART/BLOCK     machines that belong to a shard
-//   claim/-/PART         rewritten with every claim of a machine whose home the shard is (core/claims.h)
-//   catalogue            machine types, for restarts while the cloud is down
-//   policy               the operators' own settings
+//   claim/-/PART         rewritten with every claim of a machine whose home the shard is
+//   (core/ownership/machine_ownership.h) catalogue            machine types, for restarts while the cloud is
+//   down policy               the operators' own settings
 #pragma once
 
-#include "core/calls.h"
+#include "core/model/job.h"
+#include "core/model/machine_type.h"
+#include "core/model/store_messages.h"
 
 namespace bendtide::records {
 
--- a/src/core/settings.h
+++ b/src/core/model/settings.h
@@ -2,10 +2,11 @@
 // catalogue, and what it observes.
 #pragma once
 
+#include <set>
 #include <string>
 #include <vector>
 
-#include "core/types.h"
+#include "core/model/job.h"
 
 namespace bendtide {
 
--- /dev/null
+++ b/src/core/model/store_messages.h
@@ -0,0 +1,75 @@
+// Requests to the key-value store and its responses.
+#pragma once
+
+#include <cstdint>
+#include <nlohmann/json.hpp>
+#include <optional>
+#include <string>
+#include <variant>
+#include <vector>
+
+#include "core/model/time.h"
+
+namespace bendtide {
+
+using Value = nlohmann::json;  ///< a stored record; its layout is ours (core/model/records.h)
+
+struct Compare {
+  std::string key;
+  std::uint64_t revision = 0;  ///< 0: the key does not exist
+};
+
+struct Write {
+  std::string key;
+  std::optional<Value> value;  ///< none: remove the key
+  std::uint64_t lease = 0;     ///< 0: not attached to a lease
+};
+
+struct GetKey {
+  std::string key;
+};
+
+struct ListPrefix {
+  std::string prefix;
+  std::string after;
+};
+
+struct Transaction {
+  std::vector<Compare> compares;
+  std::vector<Write> writes;
+};
+
+struct GrantLease {
+  Micros term{0};
+};
+
+struct RenewLease {
+  std::uint64_t lease = 0;
+};
+
+using StoreRequest = std::variant<GetKey, ListPrefix, Transaction, GrantLease, RenewLease>;
+
+struct KeyValue {
+  std::string key;
+  Value value;
+  std::uint64_t revision = 0;
+};
+
+struct StoreResponse {
+  enum class Outcome : std::uint8_t {
+    ok,
+    absent,    ///< no such key or lease
+    conflict,  ///< a condition did not hold
+    refused,   ///< surely not executed
+    unknown    ///< no answer: may have been executed, or may yet be
+  };
+  Outcome outcome = Outcome::unknown;
+  std::vector<KeyValue> entries;
+  bool more = false;
+  std::uint64_t revision = 0;
+  std::uint64_t lease = 0;
+  std::vector<std::string> failed;  ///< with a conflict: the keys whose condition did not hold
+  bool ok() const { return outcome == Outcome::ok; }
+};
+
+}  // namespace bendtide
--- a/src/core/contract.cpp
+++ b/src/core/negotiation/contract_net.cpp
@@ -1,4 +1,4 @@
-#include "core/contract.h"
+#include "core/negotiation/contract_net.h"
 
 namespace bendtide {
 
--- a/src/core/contract.h
+++ b/src/core/negotiation/contract_net.h
@@ -1,10 +1,11 @@
-// The bounded multi-round contract net between the shards: calls, proposals, awards, and the moving of shares.
+// The bounded multi-round contract net between the shards: calls, proposals, awards, and the moving of
+// shares.
 //
 // A message is only ever a hint of room. What counts is one conditional write per winner: it compares the
 // version of both room records, so that one room is awarded once, and moves tasks and share together.
 #pragma once
 
-#include "core/scheduler.h"
+#include "core/placement/scheduler.h"
 
 namespace bendtide {
 
--- a/src/core/claims.cpp
+++ b/src/core/ownership/machine_ownership.cpp
@@ -1,4 +1,4 @@
-#include "core/claims.h"
+#include "core/ownership/machine_ownership.h"
 
 namespace bendtide {
 
--- a/src/core/claims.h
+++ b/src/core/ownership/machine_ownership.h
@@ -2,9 +2,9 @@
 // is never claimed twice.
 //
 // Claims are kept in blocks, several machines in one record. What keeps two shards from claiming one machine
-// is the record of its home shard (home_shard): every claim of a machine rewrites it, on condition that nobody
-// did since the claims were last read. So the claims of the machines of one home are made one after the
-// other, each in the knowledge of all before it.
+// is the record of its home shard (home_shard): every claim of a machine rewrites it, on condition that
+// nobody did since the claims were last read. So the claims of the machines of one home are made one after
+// the other, each in the knowledge of all before it.
 //
 // A claim names the machine's address once the machine is up and about to be used. Nothing is started on a
 // machine before that is written; so who takes a part over knows that nothing can be on the others (those
@@ -13,7 +13,7 @@
 
 #include <deque>
 
-#include "core/cluster.h"
+#include "core/state/controller_state.h"
 
 namespace bendtide {
 
--- a/src/core/scheduler.cpp
+++ b/src/core/placement/scheduler.cpp
@@ -1,4 +1,4 @@
-#include "core/scheduler.h"
+#include "core/placement/scheduler.h"
 
 namespace bendtide {
 
--- a/src/core/scheduler.h
+++ b/src/core/placement/scheduler.h
@@ -1,7 +1,7 @@
 // Placement within one shard: who goes first, on which machine, and who has to make room.
 #pragma once
 
-#include "core/fleet.h"
+#include "core/workers/fleet.h"
 
 namespace bendtide {
 
@@ -12,7 +12,8 @@
   /// Places what can be placed; leaves in each job how many tasks found no room. Does nothing unless
   /// something has changed since the last pass, or a while has gone by.
   void pass(Shard& shard);
-  /// Places on one machine what waited at the last pass, so that the answer to its heartbeat brings it new work.
+  /// Places on one machine what waited at the last pass, so that the answer to its heartbeat brings it new
+  /// work.
   void fill(Shard& shard, Machine& machine);
   /// How many tasks of a call this shard could take, and how soon.
   struct Offer {
--- a/src/core/renter.cpp
+++ b/src/core/provisioning/autoscaler.cpp
@@ -1,4 +1,4 @@
-#include "core/renter.h"
+#include "core/provisioning/autoscaler.h"
 
 namespace bendtide {
 
--- a/src/core/renter.h
+++ b/src/core/provisioning/autoscaler.h
@@ -1,7 +1,8 @@
 // The cloud: renting for tasks that found no room, returning what is idle, deleting what is given up.
 #pragma once
 
-#include "core/fleet.h"
+#include "core/runtime/token_bucket.h"
+#include "core/workers/fleet.h"
 
 namespace bendtide {
 
@@ -64,7 +65,7 @@
 
   ControllerState& state_;
   Fleet& fleet_;
-  Budget budget_;
+  TokenBucket budget_;
   std::map<std::uint64_t, Callback> in_flight_;
   std::uint64_t next_call_ = 1;
   std::uint64_t idempotency_keys_ = 0;
--- a/src/core/context.h
+++ b/src/core/runtime/context.h
@@ -2,15 +2,17 @@
 // actions collected for it.
 #pragma once
 
+#include <functional>
+#include <map>
 #include <random>
 #include <string>
 #include <utility>
 #include <vector>
 
-#include "core/calls.h"
-#include "core/invariants.h"
-#include "core/policy.h"
-#include "core/settings.h"
+#include "core/model/actions.h"
+#include "core/model/policy.h"
+#include "core/model/settings.h"
+#include "core/runtime/invariants.h"
 
 namespace bendtide {
 
@@ -43,28 +45,4 @@
   }
 };
 
-/// Passes `rate` a second, with bursts of up to `burst`.
-class Budget {
- public:
-  Budget(double rate, double burst) : rate_(rate), burst_(burst), level_(burst) {}
-  bool take(Micros now, double n = 1) {
-    refill(now);
-    if (level_ < n) return false;
-    level_ -= n;
-    return true;
-  }
-  bool has(Micros now, double n = 1) {
-    refill(now);
-    return level_ >= n;
-  }
-
- private:
-  void refill(Micros now) {
-    if (now > last_) level_ = std::min(burst_, level_ + rate_ * in_seconds(now - last_));
-    last_ = std::max(last_, now);
-  }
-  double rate_, burst_, level_;
-  Micros last_{0};
-};
-
 }  // namespace bendtide
--- a/src/core/cluster.h
+++ b/src/core/state/controller_state.h
@@ -1,10 +1,10 @@
 // The state shared by the pieces of one controller's core.
 #pragma once
 
-#include "core/context.h"
-#include "core/job_history.h"
-#include "core/part.h"
-#include "core/store.h"
+#include "core/kvstore/key_value_client.h"
+#include "core/runtime/context.h"
+#include "core/state/final_states.h"
+#include "core/state/shard.h"
 
 namespace bendtide {
 
@@ -88,8 +88,8 @@
 
   /// The one decision whether a part may act on a record or an answer that shows a job as unfinished: read or
   /// written by a request of ours that was made at `asked`. Every path that loads a job asks it. Only the
-  /// leader ends the jobs of its shard, so that ends of this holding are in the history; an earlier leader may
-  /// have ended the job after `asked` if that is before the shard was taken.
+  /// leader ends the jobs of its shard, so that ends of this holding are in the history; an earlier leader
+  /// may have ended the job after `asked` if that is before the shard was taken.
   Validity validity(const Shard& shard, const std::string& job, Micros asked) const {
     if (final_states.has_ended(job)) return Validity::outlived;
     const bool knows_all_ends = asked >= shard.acquired_at && final_states.remembers_since(asked);
--- a/src/core/job_history.cpp
+++ b/src/core/state/final_states.cpp
@@ -1,4 +1,4 @@
-#include "core/job_history.h"
+#include "core/state/final_states.h"
 
 namespace bendtide {
 
--- a/src/core/job_history.h
+++ b/src/core/state/final_states.h
@@ -7,7 +7,7 @@
 #include <optional>
 #include <string>
 
-#include "core/types.h"
+#include "core/model/job.h"
 
 namespace bendtide {
 
--- /dev/null
+++ b/src/core/state/job.h
@@ -0,0 +1,89 @@
+// A job of a shard, and what has become of its tasks.
+#pragma once
+
+#include <map>
+#include <set>
+#include <string>
+#include <vector>
+
+#include "core/model/job.h"
+
+namespace bendtide {
+
+struct Machine;
+
+struct Task {
+  enum class State : std::uint8_t {
+    waiting,   ///< to be started
+    placed,    ///< on `machine`, or possibly
+    done,      ///< finished, and recorded or about to be
+    elsewhere  ///< awarded to another shard, or never ours
+  };
+  State state = State::waiting;
+  Machine* machine = nullptr;
+  std::uint64_t attempt = 0;  ///< the one that counts
+};
+
+struct Job {
+  JobSpec spec;
+  Micros accepted{0};         ///< wall clock
+  std::string owner;          ///< the shard whose job it is, here by awards; empty: ours
+  bool unreconciled = false;  ///< loaded at a take-over: its tasks may be on machines not yet seen
+  bool finalizing = false;    ///< its last write is under way
+  bool ended = false;         ///< over: nothing of it may start, and all of it has to go
+  std::vector<Task> tasks;
+  std::vector<std::uint32_t> waiting;  ///< exactly the tasks in state waiting
+  std::uint32_t done = 0;
+  std::vector<bool> recorded;             ///< tasks whose end the key-value store holds
+  std::vector<std::uint32_t> unrecorded;  ///< done, but not in the key-value store yet
+  std::uint32_t present = 0;              ///< placements of it that take room, of any attempt
+  std::set<std::string> failed_on;        ///< machines on which a task of it failed
+  bool succeeded = false;
+  Micros retry_at{0};
+  int failures = 0;
+
+  // contract net, at the owner
+  std::map<std::string, std::string> awards;  ///< award key -> winning part
+  std::uint32_t tasks_in_award = 0;           ///< tasks in an award whose write is under way
+  Micros next_call{0};
+  bool refused = false;        ///< the last call found no room elsewhere: machines are to be rented
+  bool unrentable = false;     ///< the cloud has nothing for it
+  std::uint32_t overflow = 0;  ///< tasks that found no room in the last pass
+  bool quota_share_exhausted = false;
+  bool only_where_cached = false;  ///< room is being made on a machine that caches its image
+
+  /// Whether any task of it has been placed or is done.
+  bool begun() const { return done > 0 || present > 0 || waiting.size() < tasks.size(); }
+  bool can_start(Micros now) const { return !ended && !finalizing && !waiting.empty() && now >= retry_at; }
+  /// A job that fails on several machines and never succeeds is taken to be faulty itself.
+  bool suspect() const { return !succeeded && failed_on.size() >= 2; }
+  Micros due() const { return spec.deadline ? accepted + *spec.deadline : Micros::max(); }
+
+  void set_waiting(std::uint32_t index) {
+    tasks[index] = {};
+    waiting.push_back(index);
+  }
+  /// Moves a task from `waiting` to any other state.
+  void leave_waiting(std::uint32_t index, Task next) {
+    if (!waiting.empty() && waiting.back() == index)
+      waiting.pop_back();
+    else
+      std::erase(waiting, index);
+    tasks[index] = next;
+  }
+  void mark_done(std::uint32_t index, bool is_recorded) {
+    if (tasks[index].state == Task::State::done) return;
+    if (tasks[index].state == Task::State::waiting) leave_waiting(index, {});
+    tasks[index] = {Task::State::done, nullptr, tasks[index].attempt};
+    ++done;
+    succeeded = true;
+    if (is_recorded)
+      recorded[index] = true;
+    else
+      unrecorded.push_back(index);
+  }
+  /// Tasks that are neither done nor waiting: placed here, or awarded elsewhere.
+  std::uint32_t under_way() const { return static_cast<std::uint32_t>(tasks.size() - waiting.size()) - done; }
+};
+
+}  // namespace bendtide
--- a/src/core/part.cpp
+++ b/src/core/state/shard.cpp
@@ -1,4 +1,4 @@
-#include "core/part.h"
+#include "core/state/shard.h"
 
 namespace bendtide {
 
--- a/src/core/fleet.cpp
+++ b/src/core/workers/fleet.cpp
@@ -1,5 +1,5 @@
 // Reports find their way to the shard that the machine belongs to, here or at a peer.
-#include "core/fleet.h"
+#include "core/workers/fleet.h"
 
 namespace bendtide {
 
@@ -58,7 +58,8 @@
   }
   if (!shard->ready() || deleted_.contains(heartbeat.machine)) return answer(request, 503);
   defer(request, heartbeat, since);
-  // A machine that nobody claimed was never given a fencing token: this one was claimed by somebody, or deleted.
+  // A machine that nobody claimed was never given a fencing token: this one was claimed by somebody, or
+  // deleted.
   if (heartbeat.fencing_token != 0) return ownership_.invalidate();
   ownership_.request(*shard, machine_from({heartbeat.machine, heartbeat.type, heartbeat.zone, heartbeat.spot,
                                            heartbeat.address, state_.context.wall}));
--- a/src/core/fleet.h
+++ b/src/core/workers/fleet.h
@@ -1,7 +1,7 @@
 // Machines and what is on them: heartbeats in, commands out, and the proofs that a task is off a machine.
 #pragma once
 
-#include "core/claims.h"
+#include "core/ownership/machine_ownership.h"
 
 namespace bendtide {
 
@@ -24,7 +24,8 @@
   void restore_unreachable_machines(Shard& shard);
   void on_shard_lost(const std::string& shard) { ownership_.on_shard_lost(shard); }
 
-  /// Whether a worker can be reached: no order has fencing token and incarnation 0, and it says what it holds.
+  /// Whether a worker can be reached: no order has fencing token and incarnation 0, and it says what it
+  /// holds.
   void probe(const std::string& address, std::function<void(bool)> done);
   /// Sends the commands that should not wait for the next heartbeat.
   void push_commands(Shard& shard);
--- a/src/core/fleet_commands.cpp
+++ b/src/core/workers/fleet_commands.cpp
@@ -1,5 +1,5 @@
 // Commands: the difference between what is wanted on a machine and what it reports.
-#include "core/fleet.h"
+#include "core/workers/fleet.h"
 
 namespace bendtide {
 
@@ -114,7 +114,8 @@
     if (m.push_in_flight || m.lease_expired || m.decommissioned || m.address.empty() || !urgent(m) ||
         (m.reconciled && now - m.last_status_at > state_.context.settings.heartbeat_interval * 3 / 2))
       continue;
-    // Before all that is on it is known, it is only shown the fencing token. Its first incarnation is number 1.
+    // Before all that is on it is known, it is only shown the fencing token. Its first incarnation is
+    // number 1.
     std::vector<Command> list = m.reconciled ? commands(shard, m, 0) : std::vector<Command>{};
     PushInFlight call{shard.name, shard.leadership_term, name, shard.fencing_token, now, {}};
     for (const Command& o : list) {
@@ -162,8 +163,8 @@
     if (p == m.tasks.end()) continue;
     --p->second.pushed_starts_in_flight;
     if (answer.outcome == CommandResponse::Outcome::unknown) {
-      // It may be executed at any later time under this fencing token: raise it, and wait for the worker to show
-      // that.
+      // It may be executed at any later time under this fencing token: raise it, and wait for the worker to
+      // show that.
       p->second.late_start_token = std::max(p->second.late_start_token, direct.fencing_token);
       shard->advance_token_soon = true;
     }
--- a/src/core/fleet_failures.cpp
+++ b/src/core/workers/fleet_failures.cpp
@@ -1,5 +1,5 @@
 // Which machines have failed: silent, unreachable for what is sent to them, or behind a cut.
-#include "core/fleet.h"
+#include "core/workers/fleet.h"
 
 namespace bendtide {
 
@@ -11,13 +11,14 @@
 
 }  // namespace
 
-/// Whether a heartbeat that came just now can have been sent after what we sent at `ours` could have reached the
-/// worker. While it waits for an answer it sends no other heartbeat: one that comes sooner was held back on its
-/// way, or what we answered was. Such a heartbeat says nothing of what reaches the machine.
+/// Whether a heartbeat that came just now can have been sent after what we sent at `ours` could have reached
+/// the worker. While it waits for an answer it sends no other heartbeat: one that comes sooner was held back
+/// on its way, or what we answered was. Such a heartbeat says nothing of what reaches the machine.
 bool Fleet::was_sent_after(Micros ours) const { return state_.now() - ours >= Settings::kWorkerPatience; }
 
-/// A cut may swallow one order and hold the heartbeats that it is followed by. But the machine is sent another
-/// as soon as a heartbeat arrives: if that is lost too, and the machine reports again, nothing reaches it.
+/// A cut may swallow one order and hold the heartbeats that it is followed by. But the machine is sent
+/// another as soon as a heartbeat arrives: if that is lost too, and the machine reports again, nothing
+/// reaches it.
 void Fleet::note_lost_pushes(Shard& shard, Machine& m) {
   if (!std::exchange(m.push_lost, false)) return;
   shard.request_push(m);
--- a/src/core/fleet_handover.cpp
+++ b/src/core/workers/fleet_handover.cpp
@@ -1,5 +1,5 @@
 // What one holder of a shard tells the next about machines that are silent.
-#include "core/fleet.h"
+#include "core/workers/fleet.h"
 
 namespace bendtide {
 
@@ -24,9 +24,9 @@
   return out;
 }
 
-/// They are as if they had just reported: reconciled, and what may be on them is placed there until it is proved
-/// to be off. The last leader did nothing with the shard after it said so, and we took it over its very
-/// record.
+/// They are as if they had just reported: reconciled, and what may be on them is placed there until it is
+/// proved to be off. The last leader did nothing with the shard after it said so, and we took it over its
+/// very record.
 void Fleet::restore_unreachable_machines(Shard& shard) {
   for (const UnreachableMachine& s : std::exchange(shard.handover, {})) {
     auto it = shard.machines.find(s.machine);
--- a/src/core/fleet_reports.cpp
+++ b/src/core/workers/fleet_heartbeats.cpp
@@ -1,5 +1,5 @@
 // What a heartbeat tells of the tasks on its machine, and what follows from it.
-#include "core/fleet.h"
+#include "core/workers/fleet.h"
 
 namespace bendtide {
 
@@ -23,7 +23,8 @@
 
 void Fleet::on_own_heartbeat(std::uint64_t request, Shard& shard, const Heartbeat& heartbeat) {
   if (heartbeat.fencing_token > shard.fencing_token) {
-    // Somebody was given a higher fencing token: either we are superseded, or the machine came from elsewhere.
+    // Somebody was given a higher fencing token: either we are superseded, or the machine came from
+    // elsewhere.
     hooks_.invalidate_leases();
     shard.advance_token_soon = true;
     return answer(request, 503);
@@ -34,8 +35,8 @@
     return answer(request, 503);
   }
   Machine& m = it->second;
-  // The worker has one heartbeat in flight: what is not newer than one we answered is a copy, and nobody waits
-  // for the answer. It renews nothing.
+  // The worker has one heartbeat in flight: what is not newer than one we answered is a copy, and nobody
+  // waits for the answer. It renews nothing.
   if (heartbeat.incarnation < m.incarnation ||
       (heartbeat.incarnation == m.incarnation && heartbeat.sequence_number <= m.heartbeat_sequence_number))
     return answer(request, 503);
@@ -90,16 +91,16 @@
 }
 
 /// Its lease runs from the beginning of the incarnation, which we learn of by a refused or executed order as
-/// well: a worker that reaches no controller still gets commands. Without this its tasks would be given up, and
-/// started elsewhere, while they run on for the rest of the new lease.
+/// well: a worker that reaches no controller still gets commands. Without this its tasks would be given up,
+/// and started elsewhere, while they run on for the rest of the new lease.
 void Fleet::begin_incarnation(Machine& m, std::uint64_t incarnation) {
   m.incarnation = incarnation;
   m.sequence_number = m.heartbeat_sequence_number = m.last_reply_sequence_number = 0;
   m.last_reply_at = state_.now();
 }
 
-/// A status that shows no fencing token of this holding may be a late copy from before it, by any time: it may be
-/// answered, so that the worker learns the fencing token, but nothing it says is believed.
+/// A status that shows no fencing token of this holding may be a late copy from before it, by any time: it
+/// may be answered, so that the worker learns the fencing token, but nothing it says is believed.
 bool Fleet::believable(const Shard& shard, const Heartbeat& heartbeat) const {
   return heartbeat.fencing_token >= shard.first_fencing_token;
 }
@@ -204,8 +205,8 @@
   shard.changed();
   if (p.pushed_fencing_token != 0) {
     // A repeat of the direct start would run the task here again, though it may be elsewhere or over. As long
-    // as the worker holds the attempt, ended, the repeat has no effect: keep it until the fencing token is higher.
-    // That is urgent if the task is to run again.
+    // as the worker holds the attempt, ended, the repeat has no effect: keep it until the fencing token is
+    // higher. That is urgent if the task is to run again.
     p.late_start_token = std::max(p.late_start_token, p.pushed_fencing_token);
     (cause == ExitCause::done ? shard.advance_token_eventually : shard.advance_token_soon) = true;
   }
--- a/src/io/loop.h
+++ b/src/io/loop.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <string_view>
 
-#include "core/time.h"
+#include "core/model/time.h"
 #include "io/task.h"
 
 namespace bendtide::io {
--- a/src/wire/wire.cpp
+++ b/src/wire/wire.cpp
@@ -204,7 +204,7 @@
   return out;
 }
 
-json orders_json(const std::vector<Command>& commands) {
+json commands_json(const std::vector<Command>& commands) {
   json out = json::array();
   for (const Command& o : commands) {
     json entry = {{kVerb, text_of(o.kind, kVerbs)}, {kTask, task_name(o.task)}, {kAttempt, o.attempt}};
@@ -330,7 +330,8 @@
 }
 
 std::string body_of(const HeartbeatReply& r) {
-  if (r.status == 200) return json{{kToken, r.fencing_token}, {kOrderList, orders_json(r.commands)}}.dump();
+  if (r.status == 200)
+    return json{{kToken, r.fencing_token}, {kCommandList, commands_json(r.commands)}}.dump();
   if (!r.redirect.empty()) return json{{kRedirect, r.redirect}}.dump();
   return "{}";
 }
@@ -514,9 +515,10 @@
 // ---- workers -------------------------------------------------------------------------------------
 
 HttpRequest request_of(const CommandRequest& r) {
-  return {"POST", kCommandsPerMessage,
-          json{{kToken, r.fencing_token}, {kSession, r.incarnation}, {kOrderList, orders_json(r.commands)}}
-              .dump()};
+  return {
+      "POST", kCommands,
+      json{{kToken, r.fencing_token}, {kSession, r.incarnation}, {kCommandList, commands_json(r.commands)}}
+          .dump()};
 }
 
 CommandResponse command_response(int status, std::string_view body) {
--- a/src/wire/wire.h
+++ b/src/wire/wire.h
@@ -5,7 +5,7 @@
 #include <string_view>
 #include <variant>
 
-#include "core/calls.h"
+#include "core/model/actions.h"
 
 namespace bendtide::wire {
 
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -2,7 +2,7 @@
 
 #include <gtest/gtest.h>
 
-#include "core/policy.h"
+#include "core/model/policy.h"
 
 namespace bendtide {
 namespace {
--- a/tests/decision_digest_main.cpp
+++ b/tests/decision_digest_main.cpp
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "sim/action_digest.h"
-#include "sim/day.h"
+#include "sim/simulated_cluster.h"
 
 namespace bendtide::sim {
 namespace {
--- a/tests/late_answer_test.cpp
+++ b/tests/late_answer_test.cpp
@@ -1,10 +1,10 @@
-// Answers of the key-value store that arrive after other things were learned: none of them may bring back what
-// is over, and no final state is written over another.
+// Answers of the key-value store that arrive after other things were learned: none of them may bring back
+// what is over, and no final state is written over another.
 
 #include <gtest/gtest.h>
 
-#include "sim/day.h"
 #include "sim/hand_answered.h"
+#include "sim/simulated_cluster.h"
 
 namespace bendtide::sim {
 namespace {
@@ -174,8 +174,8 @@
   return text == nullptr ? otherwise : std::strtoull(text, nullptr, 10);
 }
 
-/// Controllers lose the key-value store one after the other, so that submissions are passed on to two peers at
-/// once; users ask everywhere, submit again and cancel within 0.3 s of an acceptance.
+/// Controllers lose the key-value store one after the other, so that submissions are passed on to two peers
+/// at once; users ask everywhere, submit again and cancel within 0.3 s of an acceptance.
 FaultScenario hasty_day(std::uint64_t seed) {
   using enum FaultKind;
   FaultScenario plan;
--- a/tests/machine_test.cpp
+++ b/tests/machine_test.cpp
@@ -3,7 +3,7 @@
 
 #include <gtest/gtest.h>
 
-#include "sim/held_part.h"
+#include "sim/held_shard.h"
 
 namespace bendtide::sim {
 namespace {
@@ -11,7 +11,7 @@
 // Each answer renews the lease. Holders that followed one another once kept a cancelled job's tasks alive, as
 // each had ended before the worker reported a second time.
 TEST(FirstAnswer, StopsWhatThePartDoesNotHave) {
-  HeldPart t;
+  HeldShard t;
   const auto answers = t.at<AnswerHeartbeat>(101, [&] { t.fleet.on_heartbeat(1, t.report(5, 1, 4, true)); });
   ASSERT_EQ(answers.size(), 1u);
   EXPECT_EQ(answers[0].reply.status, 200);
@@ -20,7 +20,7 @@
   EXPECT_EQ(answers[0].reply.commands[0].task, kTask);
   EXPECT_EQ(answers[0].reply.commands[0].attempt, 7u);
 
-  HeldPart with_job;
+  HeldShard with_job;
   with_job.add_job();
   const auto kept = with_job.at<AnswerHeartbeat>(
       101, [&] { with_job.fleet.on_heartbeat(1, with_job.report(5, 1, 4, true)); });
@@ -28,11 +28,11 @@
   EXPECT_TRUE(kept[0].reply.commands.empty());
 }
 
-// A worker that reaches no controller begins a new incarnation in which commands still reach it. Its tasks were
-// once given up, and started elsewhere, a lease after the shard was taken, while they ran on for the rest of
-// theirs.
+// A worker that reaches no controller begins a new incarnation in which commands still reach it. Its tasks
+// were once given up, and started elsewhere, a lease after the shard was taken, while they ran on for the
+// rest of theirs.
 TEST(MuteMachine, IsNotGivenUpBeforeTheLeaseOfItsSessionIsOver) {
-  HeldPart t;
+  HeldShard t;
   Job& job = t.add_job();
   t.orders_answered(108, 1, CommandResponse::Outcome::refused, t.report(10, 2, 1, false));
   t.orders_answered(108, 2, CommandResponse::Outcome::executed, t.report(10, 2, 3, true));
@@ -43,10 +43,10 @@
   EXPECT_EQ(job.tasks[0].state, Task::State::waiting);
 }
 
-// What a cut held back comes all at once, and is one sign of deafness. One that goes on without our fencing token is
-// deaf.
+// What a cut held back comes all at once, and is one sign of deafness. One that goes on without our fencing
+// token is deaf.
 TEST(HeldReports, AreOneSignOfDeafness) {
-  HeldPart t;
+  HeldShard t;
   t.at<LogLine>(111, [&] {
     t.fleet.on_heartbeat(1, t.report(5, 1, 4, false));
     t.fleet.on_heartbeat(2, t.report(5, 1, 5, false));
@@ -61,10 +61,11 @@
   EXPECT_TRUE(t.machine().decommissioned);
 }
 
-// A cut swallows a pushed commands and holds the heartbeats that follow it: all of that was sent before anything of
-// ours could have reached the worker. It once added up to a machine that is deleted though it is well.
+// A cut swallows a pushed commands and holds the heartbeats that follow it: all of that was sent before
+// anything of ours could have reached the worker. It once added up to a machine that is deleted though it is
+// well.
 TEST(HeldReports, AndTheOrderLostInTheSameCutAreNoSignOfDeafness) {
-  HeldPart t;
+  HeldShard t;
   t.shard.set_reconciled(t.machine(), true);
   t.at<LogLine>(101.5, [&] { t.fleet.on_command_response(1, {CommandResponse::Outcome::unknown, {}}); });
   t.at<LogLine>(111, [&] {
@@ -79,7 +80,7 @@
 // Reports that were held together say nothing of the start that the first one was answered with.
 TEST(HeldReports, DoNotShowThatAStartWasNotTakenUp) {
   for (const auto& [next_report_at, signs] : {std::pair(101.1, 0), std::pair(106.0, 1)}) {
-    HeldPart t;
+    HeldShard t;
     Job& job = t.add_job();
     t.at<LogLine>(100.5, [&] { t.fleet.on_heartbeat(1, t.report(10, 1, 4, false)); });
     t.shard.place(t.machine(), {kTask, 7}, &job);
@@ -92,7 +93,7 @@
 
 // The machine is asked again as soon as it reports. Only an order lost then as well is a sign.
 TEST(LostOrders, AreASignOfDeafnessOnceReportsCameInBetween) {
-  HeldPart t;
+  HeldShard t;
   t.at<LogLine>(101, [&] { t.fleet.on_heartbeat(4, t.report(10, 1, 4, false)); });
   std::uint64_t call = 1;
   for (const auto& step : {std::pair(107.0, 0), std::pair(112.0, 2)}) {
@@ -120,7 +121,7 @@
 // A leader whose term was renewed after an outage once started, and kept alive, what was awarded to it
 // before: the job had been cancelled meanwhile.
 TEST(AwardsInDoubt, AreNeitherStartedNorKeptAlive) {
-  HeldPart t;
+  HeldShard t;
   Scheduler scheduler(t.state, t.fleet);
   ContractNet net(t.state, scheduler, {[] {}});
   Job& job = t.add_job();
--- a/tests/meeting_test.cpp
+++ b/tests/meeting_test.cpp
@@ -2,7 +2,7 @@
 
 #include <gtest/gtest.h>
 
-#include "sim/day.h"
+#include "sim/simulated_cluster.h"
 
 namespace bendtide::sim {
 namespace {
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -2,14 +2,14 @@
 
 #include <gtest/gtest.h>
 
-#include "core/renter.h"
-#include "sim/held_part.h"
+#include "core/provisioning/autoscaler.h"
+#include "sim/held_shard.h"
 
 namespace bendtide::sim {
 namespace {
 
 /// A shard with machines that are up, a catalogue and a cloud that is asked by hand.
-struct RentingPart : HeldPart {
+struct RentingPart : HeldShard {
   Scheduler scheduler{state, fleet};
   Autoscaler renter{state, fleet};
 
--- a/tests/question_test.cpp
+++ b/tests/question_test.cpp
@@ -2,14 +2,14 @@
 
 #include <gtest/gtest.h>
 
-#include "core/jobs.h"
-#include "sim/held_part.h"
+#include "core/jobs/jobs.h"
+#include "sim/held_shard.h"
 
 namespace bendtide::sim {
 namespace {
 
 /// A controller that is asked by users; the key-value store's and peers' answers are given by hand.
-struct AskedController : HeldPart {
+struct AskedController : HeldShard {
   Jobs jobs{state, {[](Shard&) {}, [] {}}};
   std::uint64_t next_request = 1;
   std::vector<StoreCall> reads;
--- a/tests/holdings_test.cpp
+++ b/tests/shard_leases_test.cpp
@@ -1,6 +1,6 @@
 // Which shards a controller holds, event by event.
 
-#include "core/holdings.h"
+#include "core/leases/shard_leases.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/sim/action_digest.h
+++ b/tests/sim/action_digest.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <string_view>
 
-#include "core/calls.h"
+#include "core/model/actions.h"
 
 namespace bendtide::sim {
 
--- a/tests/sim/checker.h
+++ b/tests/sim/checker.h
@@ -7,7 +7,7 @@
 #include <utility>
 #include <vector>
 
-#include "core/settings.h"
+#include "core/model/settings.h"
 
 namespace bendtide::sim {
 
--- a/tests/sim/hand_answered.h
+++ b/tests/sim/hand_answered.h
@@ -1,12 +1,12 @@
 // A controller whose calls to the key-value store are answered by hand, in any order and as late as wished.
 #pragma once
 
-#include "sim/held_part.h"
+#include "sim/held_shard.h"
 
 namespace bendtide::sim {
 
 /// A controller whose calls to the key-value store are answered by hand, in any order.
-struct HandAnswered : HeldPart {
+struct HandAnswered : HeldShard {
   Jobs jobs{state, {[](Shard&) {}, [] {}}};
   std::vector<StoreCall> calls;
   std::vector<UserReply> replies;
--- a/tests/sim/held_part.h
+++ b/tests/sim/held_shard.h
@@ -1,15 +1,15 @@
 // One part of one controller, without any cluster round it: events go in by hand, actions are looked at.
 #pragma once
 
-#include "core/contract.h"
-#include "core/jobs.h"
+#include "core/jobs/jobs.h"
+#include "core/negotiation/contract_net.h"
 
 namespace bendtide::sim {
 
 inline const TaskId kTask{"run-1", 0};
 
 /// A shard taken a moment ago with fencing token 10, whose one machine was in use by an earlier leader.
-struct HeldPart {
+struct HeldShard {
   static Settings settings() {
     Settings s;
     s.host = "a";
@@ -30,7 +30,7 @@
   Fleet fleet{state, {[](Shard&, Machine&) {}, [] {}}};
   Shard& shard = state.shards["a"];
 
-  HeldPart() {
+  HeldShard() {
     state.lease_valid_until = seconds(10'000);
     shard.name = "a";
     shard.fencing_token = shard.first_fencing_token = 10;
--- a/tests/sim/services.cpp
+++ b/tests/sim/services.cpp
@@ -331,7 +331,7 @@
   if (fencing_token > token_) changed_ = true;
   token_ = fencing_token;
   renewed_ = std::max(renewed_, sent_);
-  execute(v.at(kOrderList), now);
+  execute(v.at(kCommandList), now);
 }
 
 Response Worker::orders(const std::string& body, Micros now) {
@@ -340,7 +340,7 @@
     return {409, wire::body_of(status(now))};
   if (v.at(kToken).get<std::uint64_t>() > token_) changed_ = true;
   token_ = v.at(kToken).get<std::uint64_t>();
-  execute(v.at(kOrderList), now);
+  execute(v.at(kCommandList), now);
   return {200, wire::body_of(status(now))};
 }
 
--- a/tests/sim/services.h
+++ b/tests/sim/services.h
@@ -6,7 +6,7 @@
 #include <nlohmann/json.hpp>
 #include <random>
 
-#include "core/context.h"
+#include "core/runtime/token_bucket.h"
 #include "sim/checker.h"
 #include "wire/wire.h"
 
@@ -46,7 +46,7 @@
   void expire(Micros now);
   Response multi(const nlohmann::json& body, Micros now);
 
-  Budget calls_, writes_;
+  TokenBucket calls_, writes_;
   std::size_t most_writes_, value_bytes_;
   std::map<std::string, Entry> data_;
   std::map<std::uint64_t, Lease> leases_;
--- a/tests/sim/day.cpp
+++ b/tests/sim/simulated_cluster.cpp
@@ -1,7 +1,7 @@
-#include "sim/day.h"
+#include "sim/simulated_cluster.h"
 
 #include "codec/codec.h"
-#include "core/overview.h"
+#include "core/controller/overview.h"
 
 namespace bendtide::sim {
 
--- a/tests/sim/day.h
+++ b/tests/sim/simulated_cluster.h
@@ -2,7 +2,7 @@
 // virtual clock, and the same every time for the same seed.
 #pragma once
 
-#include "core/controller.h"
+#include "core/controller/controller.h"
 #include "sim/services.h"
 
 namespace bendtide::sim {
@@ -56,8 +56,8 @@
   machines_mute,        ///< they reach no controller, while commands reach them
   cancel_now,           ///< users call off jobs that run, all at once; their machines hang meanwhile
   meet_ends,            ///< users cancel, ask and submit again as the last task of their job ends
-  state_answers_late,   ///< a share of the key-value store's answers comes up to a second after the request was
-                        ///< served
+  state_answers_late,   ///< a share of the key-value store's answers comes up to a second after the request
+                       ///< was served
   count
 };
 
--- a/tests/day_test.cpp
+++ b/tests/simulated_cluster_test.cpp
@@ -1,6 +1,6 @@
 // Whole days of a simulated cluster, and the checkers' own test: each has to see a planted fault.
 
-#include "sim/day.h"
+#include "sim/simulated_cluster.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/size_test.cpp
+++ b/tests/size_test.cpp
@@ -1,13 +1,14 @@
 // The core at the size of a grown deployment, measured in counts: what one event costs must not grow with the
-// machines and jobs there are. Counted are allocations, which repeat exactly, and calls to the key-value store.
+// machines and jobs there are. Counted are allocations, which repeat exactly, and calls to the key-value
+// store.
 
 #include <gtest/gtest.h>
 
 #include <cstdlib>
 #include <new>
 
-#include "core/controller.h"
-#include "sim/day.h"
+#include "core/controller/controller.h"
+#include "sim/simulated_cluster.h"
 
 namespace {
 std::size_t allocations = 0;
@@ -259,7 +260,8 @@
   EXPECT_EQ(large.too_large(), 0u);
 }
 
-// A restarted process reads everything once, and tells every machine its fencing token without waiting for heartbeats.
+// A restarted process reads everything once, and tells every machine its fencing token without waiting for
+// heartbeats.
 TEST(Size, ATakeOverIsReadInFewCalls) {
   ControllerState large(kLarge);
   const std::size_t before = large.state_calls();
