--- a/src/codec/codec.cpp
+++ b/src/codec/codec.cpp
@@ -38,6 +38,10 @@
   }
   void field(const Resources& r) { fields(r.cpu, r.gpu, r.memory); }
   void field(const Quota& q) { fields(q.cpu, q.gpu); }
+  template <class Kind>
+  void field(StrongId<Kind> id) {
+    field(id.value());
+  }
   template <class T, class F>
   void list(const std::vector<T>& list, F&& each) {
     field(std::uint64_t{list.size()});
@@ -139,6 +143,12 @@
     if (n > static_cast<std::uint64_t>(last)) return fail();
     e = static_cast<E>(n);
   }
+  template <class Kind>
+  void field(StrongId<Kind>& id) {
+    std::uint64_t value = 0;
+    field(value);
+    id = value;
+  }
   template <class... T>
   void fields(T&... all) {
     (field(all), ...);
--- a/src/core/controller/controller.cpp
+++ b/src/core/controller/controller.cpp
@@ -160,7 +160,7 @@
     };
     if (!a.ok() && a.outcome != Outcome::absent) return unavailable();
     Policy next;
-    const std::uint64_t revision = a.entries.empty() ? 0 : a.entries.front().revision;
+    const Revision revision = a.entries.empty() ? Revision{} : a.entries.front().revision;
     if (revision != 0) Policy::apply(next, a.entries.front().value);
     if (auto problem = Policy::apply(next, fields)) {
       context_.act(AnswerAdmin{request, 400, {{"error", *problem}}});
--- a/src/core/controller/overview.cpp
+++ b/src/core/controller/overview.cpp
@@ -18,7 +18,7 @@
       quota_shares[team] = {{"share_cpus", units(share.cpu)},
                             {"used_or_possibly_used_cpus", units(shard.used(team).cpu)}};
     held.push_back({{"part", name},
-                    {"token", shard.fencing_token},
+                    {"token", shard.fencing_token.value()},
                     {"ready", shard.ready()},
                     {"acting", state.lease_valid()},
                     {"held_s", in_seconds(state.now() - shard.acquired_at)},
--- a/src/core/jobs/jobs_ending.cpp
+++ b/src/core/jobs/jobs_ending.cpp
@@ -118,7 +118,7 @@
       state_.context.violated(Invariant::final_state_stays,
                               write.job + " is " + to_text(entry->phase) +
                                   " in the state service at revision " +
-                                  std::to_string(a.entries.front().revision) + ", and part " + write.shard +
+                                  to_string(a.entries.front().revision) + ", and part " + write.shard +
                                   " was to write that it is " + to_text(write.phase));
     conclude(write, entry->phase, respond);
   });
--- a/src/core/jobs/jobs_submission.cpp
+++ b/src/core/jobs/jobs_submission.cpp
@@ -145,7 +145,7 @@
   const std::string& id = one.record.spec.id;
   state_.context.info("accepted " + id + ": " + std::to_string(one.record.spec.tasks) + " tasks of " +
                       one.record.spec.team + ", in part " + batch.shard + " at revision " +
-                      std::to_string(a.revision));
+                      to_string(a.revision));
   Shard* shard = state_.shard_in_term(batch.shard, batch.leadership_term);
   if (shard != nullptr && load_if_current(*shard, one.record, batch.asked) == nullptr)
     shard->next_reread = std::min(shard->next_reread, state_.now() + kRereadSoon);
--- a/src/core/kvstore/key_value_client.cpp
+++ b/src/core/kvstore/key_value_client.cpp
@@ -16,13 +16,13 @@
       return "list " + list.prefix + " after '" + list.after + "'";
     }
     std::string operator()(const GrantLease&) { return "a new lease"; }
-    std::string operator()(const RenewLease& renew) { return "renew lease " + std::to_string(renew.lease); }
+    std::string operator()(const RenewLease& renew) { return "renew lease " + to_string(renew.lease); }
     std::string operator()(const Transaction& commit) {
       std::string out;
       for (const Write& write : commit.writes) out += (write.value ? "put " : "remove ") + write.key + ", ";
       out += "if";
       for (const Compare& compare : commit.compares)
-        out += " " + compare.key + "@" + std::to_string(compare.revision);
+        out += " " + compare.key + "@" + to_string(compare.revision);
       return out;
     }
   };
@@ -49,11 +49,11 @@
       break;
   }
   for (const std::string& key : answer.failed) out += " " + key;
-  if (answer.revision != 0) out += ", revision " + std::to_string(answer.revision);
-  if (answer.lease != 0) out += ", lease " + std::to_string(answer.lease);
+  if (answer.revision != 0) out += ", revision " + to_string(answer.revision);
+  if (answer.lease != 0) out += ", lease " + to_string(answer.lease);
   if (answer.entries.size() > kEntriesShown)
     return out + ", " + std::to_string(answer.entries.size()) + " rows";
-  for (const KeyValue& entry : answer.entries) out += ", " + entry.key + "@" + std::to_string(entry.revision);
+  for (const KeyValue& entry : answer.entries) out += ", " + entry.key + "@" + to_string(entry.revision);
   return out;
 }
 
@@ -82,7 +82,7 @@
 
 void KeyValueClient::lease(Micros term, Callback callback) { send({GrantLease{term}, std::move(callback)}); }
 
-void KeyValueClient::renew(std::uint64_t lease, Callback callback) {
+void KeyValueClient::renew(StoreLeaseId lease, Callback callback) {
   send({RenewLease{lease}, std::move(callback)});
 }
 
--- a/src/core/kvstore/key_value_client.h
+++ b/src/core/kvstore/key_value_client.h
@@ -27,7 +27,7 @@
   void commit(Transaction transaction, Callback callback, RequestPriority priority = RequestPriority::normal);
   /// Leases go ahead of everything else and are never queued behind it.
   void lease(Micros term, Callback callback);
-  void renew(std::uint64_t lease, Callback callback);
+  void renew(StoreLeaseId lease, Callback callback);
 
   void on_answer(std::uint64_t call, const StoreResponse& answer);
   /// Sends what the budget allows by now.
--- a/src/core/leases/shard_leases.cpp
+++ b/src/core/leases/shard_leases.cpp
@@ -114,7 +114,7 @@
     return;
   if (!transfer_lease.asked_for) received_transfers_[transfer_lease.shard] = state_.now();
   handover_states_[transfer_lease.shard] = transfer_lease;
-  acquire(transfer_lease.shard, transfer_lease.fencing_token);
+  acquire(transfer_lease.shard, lease_record_revision(transfer_lease.fencing_token));
 }
 
 void ShardLeases::probe_workers() {
@@ -206,12 +206,14 @@
     }
     auto held = state_.shards.find(shard);
     // A list older than our taking says nothing about it.
-    if (held != state_.shards.end() && held->second.fencing_token > answer.revision) continue;
+    if (held != state_.shards.end() && held->second.fencing_token > fencing_token_of(answer.revision))
+      continue;
     if (held != state_.shards.end() && !acquiring_.contains(shard) && !held->second.advancing_fencing_token) {
       // Our own late write may have gone through: a record of this very process is ours, whatever its stamp.
       if (lease_record && lease_record->host == state_.self() &&
           lease_record->incarnation == state_.context.incarnation)
-        held->second.fencing_token = std::max(held->second.fencing_token, it->second->revision);
+        held->second.fencing_token =
+            std::max(held->second.fencing_token, fencing_token_of(it->second->revision));
       else
         lose_shard(shard, "the holding record is not ours");
     }
@@ -257,7 +259,7 @@
   }
 }
 
-void ShardLeases::acquire(const std::string& shard, std::uint64_t expected_revision) {
+void ShardLeases::acquire(const std::string& shard, Revision expected_revision) {
   acquiring_[shard] = store_lease_;
   Transaction transaction;
   transaction.compares = {{records::lease_key(shard), expected_revision}};
@@ -269,12 +271,12 @@
   });
 }
 
-void ShardLeases::on_acquire_response(const std::string& shard, std::uint64_t expected_revision,
+void ShardLeases::on_acquire_response(const std::string& shard, Revision expected_revision,
                                       const StoreResponse& a) {
   if (a.outcome == Outcome::unknown) return resolve_acquisition(shard);
   const bool under_our_lease = finish_acquisition(shard);
   if (!under_our_lease) return;
-  if (a.ok()) return activate(shard, a.revision, expected_revision);
+  if (a.ok()) return activate(shard, fencing_token_of(a.revision), fencing_token_of(expected_revision));
   if (a.outcome == Outcome::absent) lose_lease();
   next_reload_ = state_.now() + kReloadAfterFailure;
 }
@@ -298,16 +300,15 @@
     auto lease_record = records::lease_record(a.entries.front().value);
     if (lease_record && lease_record->host == state_.self() &&
         lease_record->incarnation == state_.context.incarnation)
-      activate(shard, a.entries.front().revision, 0);
+      activate(shard, fencing_token_of(a.entries.front().revision), FencingToken{});
   });
 }
 
 /// `over`: the record that ours replaced, if that is known.
-void ShardLeases::activate(const std::string& name, std::uint64_t fencing_token,
-                           std::uint64_t replaced_token) {
+void ShardLeases::activate(const std::string& name, FencingToken fencing_token, FencingToken replaced_token) {
   if (!state_.lease_valid()) return;
   ShardRoute& route = state_.routes[name];
-  route = {state_.self(), state_.context.incarnation, fencing_token, Micros{0}, true};
+  route = {state_.self(), state_.context.incarnation, lease_record_revision(fencing_token), Micros{0}, true};
   Shard& shard = state_.shards[name];
   shard = Shard{};
   shard.name = name;
@@ -320,7 +321,7 @@
       shard.handover = std::move(handover->second.unreachable);
     handover_states_.erase(handover);
   }
-  state_.context.info("took part " + name + " with token " + std::to_string(fencing_token));
+  state_.context.info("took part " + name + " with token " + to_string(fencing_token));
   on_acquired_(shard);
 }
 
@@ -333,26 +334,26 @@
   transaction.writes = {{records::lease_key(shard.name),
                          records::to_json(records::LeaseRecord{state_.self(), state_.context.incarnation}),
                          store_lease_}};
-  state_.store.commit(
-      std::move(transaction),
-      [this, name = shard.name, leadership_term = shard.leadership_term](const StoreResponse& a) {
-        Shard* p = state_.shard_in_term(name, leadership_term);
-        if (p == nullptr) return;
-        p->advancing_fencing_token = false;
-        if (a.ok()) {
-          if (a.revision <= p->fencing_token)
-            state_.context.violated(Invariant::tokens_grow,
-                                    "part " + name + " under token " + std::to_string(p->fencing_token) +
-                                        " was written at revision " + std::to_string(a.revision));
-          p->fencing_token = std::max(p->fencing_token, a.revision);
-          state_.context.debug(
-              [&] { return "part " + name + " raised its token to " + std::to_string(a.revision); });
-        } else {
-          p->advance_token_eventually = true;
-          p->advance_token_soon = a.outcome != Outcome::conflict;
-          next_reload_ = state_.now() + kReloadAfterFailure;
-        }
-      });
+  state_.store.commit(std::move(transaction), [this, name = shard.name,
+                                               leadership_term =
+                                                   shard.leadership_term](const StoreResponse& a) {
+    Shard* p = state_.shard_in_term(name, leadership_term);
+    if (p == nullptr) return;
+    p->advancing_fencing_token = false;
+    if (a.ok()) {
+      const FencingToken written_token = fencing_token_of(a.revision);
+      if (written_token <= p->fencing_token)
+        state_.context.violated(Invariant::tokens_grow,
+                                "part " + name + " under token " + to_string(p->fencing_token) +
+                                    " was written at revision " + to_string(a.revision));
+      p->fencing_token = std::max(p->fencing_token, written_token);
+      state_.context.debug([&] { return "part " + name + " raised its token to " + to_string(a.revision); });
+    } else {
+      p->advance_token_eventually = true;
+      p->advance_token_soon = a.outcome != Outcome::conflict;
+      next_reload_ = state_.now() + kReloadAfterFailure;
+    }
+  });
 }
 
 void ShardLeases::fail_back(const std::string& name) {
--- a/src/core/leases/shard_leases.h
+++ b/src/core/leases/shard_leases.h
@@ -28,13 +28,13 @@
   void reload();
   void on_lease_records(const StoreResponse& answer);
   void consider_acquiring(const std::string& shard);
-  void acquire(const std::string& shard, std::uint64_t expected_revision);
-  void on_acquire_response(const std::string& shard, std::uint64_t expected_revision, const StoreResponse& a);
+  void acquire(const std::string& shard, Revision expected_revision);
+  void on_acquire_response(const std::string& shard, Revision expected_revision, const StoreResponse& a);
   void resolve_acquisition(const std::string& shard);
   /// Ends a taking; false if the lease that the record was written under is no longer ours, so that the
   /// record goes with it, or has gone.
   bool finish_acquisition(const std::string& shard);
-  void activate(const std::string& shard, std::uint64_t fencing_token, std::uint64_t replaced_token);
+  void activate(const std::string& shard, FencingToken fencing_token, FencingToken replaced_token);
   void lose_shard(std::string shard, const char* why);
   void lose_lease();
   void report_health();
@@ -57,12 +57,12 @@
   Fleet& fleet_;
   Acquired on_acquired_;
   Lost on_lost_;
-  std::uint64_t store_lease_ = 0;
+  StoreLeaseId store_lease_ = 0;
   bool store_lease_request_in_flight_ = false;
   Micros next_renewal_{0};
   bool reloading_ = false;
   Micros next_reload_{0};
-  std::map<std::string, std::uint64_t>
+  std::map<std::string, StoreLeaseId>
       acquiring_;  ///< shards whose taking is under way, and under which lease
   std::uint64_t leadership_terms_ = 0;
   Micros next_health_report_{0};
--- a/src/core/model/peer_messages.h
+++ b/src/core/model/peer_messages.h
@@ -51,7 +51,7 @@
   std::uint32_t tasks = 0;  ///< 0: refusal
   Micros start_delay{0};
   std::uint32_t load_permille = 0;
-  std::uint64_t quota_revision = 0;
+  Revision quota_revision = 0;
   Quota free_quota_share;
 };
 
@@ -92,7 +92,7 @@
 /// The sender has let go of a shard: the receiver may take it, over this very record.
 struct LeaseTransfer {
   std::string shard;
-  std::uint64_t fencing_token = 0;
+  FencingToken fencing_token = 0;
   bool asked_for = false;  ///< by the receiver; else the sender can't serve it
   std::vector<UnreachableMachine> unreachable;
 };
--- a/src/core/model/store_messages.h
+++ b/src/core/model/store_messages.h
@@ -8,6 +8,7 @@
 #include <variant>
 #include <vector>
 
+#include "core/model/ids.h"
 #include "core/model/time.h"
 
 namespace bendtide {
@@ -16,13 +17,13 @@
 
 struct Compare {
   std::string key;
-  std::uint64_t revision = 0;  ///< 0: the key does not exist
+  Revision revision = 0;  ///< 0: the key does not exist
 };
 
 struct Write {
   std::string key;
   std::optional<Value> value;  ///< none: remove the key
-  std::uint64_t lease = 0;     ///< 0: not attached to a lease
+  StoreLeaseId lease = 0;      ///< 0: not attached to a lease
 };
 
 struct GetKey {
@@ -44,7 +45,7 @@
 };
 
 struct RenewLease {
-  std::uint64_t lease = 0;
+  StoreLeaseId lease = 0;
 };
 
 using StoreRequest = std::variant<GetKey, ListPrefix, Transaction, GrantLease, RenewLease>;
@@ -52,7 +53,7 @@
 struct KeyValue {
   std::string key;
   Value value;
-  std::uint64_t revision = 0;
+  Revision revision = 0;
 };
 
 struct StoreResponse {
@@ -66,8 +67,8 @@
   Outcome outcome = Outcome::unknown;
   std::vector<KeyValue> entries;
   bool more = false;
-  std::uint64_t revision = 0;
-  std::uint64_t lease = 0;
+  Revision revision = 0;
+  StoreLeaseId lease = 0;
   std::vector<std::string> failed;  ///< with a conflict: the keys whose condition did not hold
   bool ok() const { return outcome == Outcome::ok; }
 };
--- a/src/core/model/worker_messages.h
+++ b/src/core/model/worker_messages.h
@@ -6,6 +6,7 @@
 #include <string>
 #include <vector>
 
+#include "core/model/ids.h"
 #include "core/model/job.h"
 
 namespace bendtide {
@@ -30,7 +31,7 @@
   bool spot = false;
   std::uint64_t incarnation = 0;
   std::uint64_t sequence_number = 0;
-  std::uint64_t fencing_token = 0;          ///< the highest the worker has seen
+  FencingToken fencing_token = 0;           ///< the highest the worker has seen
   std::optional<Micros> preemption_notice;  ///< until the cloud takes the machine away
   std::vector<TaskStatus> tasks;
 };
@@ -46,7 +47,7 @@
 struct CommandRequest {
   std::string address;
   std::uint64_t incarnation = 0;
-  std::uint64_t fencing_token = 0;
+  FencingToken fencing_token = 0;
   std::vector<Command> commands;
 };
 
@@ -58,7 +59,7 @@
 
 struct HeartbeatReply {
   int status = 503;
-  std::uint64_t fencing_token = 0;
+  FencingToken fencing_token = 0;
   std::vector<Command> commands;
   std::string redirect;  ///< host of another controller, with 421
 };
--- a/src/core/negotiation/contract_net.cpp
+++ b/src/core/negotiation/contract_net.cpp
@@ -277,7 +277,7 @@
 }
 
 void ContractNet::commit_quota_move(Shard& shard, const QuotaMove& move, const std::optional<Write>& award,
-                                    std::uint64_t other_revision) {
+                                    Revision other_revision) {
   shard.quota_write_in_flight = true;
   shard.quota_in_transfer[move.team] += move.moved;
   const Compare holds = state_.fenced_by(shard);
--- a/src/core/negotiation/contract_net.h
+++ b/src/core/negotiation/contract_net.h
@@ -67,7 +67,7 @@
     std::vector<std::uint32_t> tasks;
   };
   void commit_quota_move(Shard& shard, const QuotaMove& move, const std::optional<Write>& award,
-                         std::uint64_t quota_revision_of_other);
+                         Revision other_revision);
   void finish_quota_move(const QuotaMove& move, bool applied);
   void resolve_unknown_move(Shard& shard, const QuotaMove& move);
   void resolve_unknown_move_later(const QuotaMove& move);
--- a/src/core/ownership/machine_ownership.h
+++ b/src/core/ownership/machine_ownership.h
@@ -60,9 +60,9 @@
 
   ControllerState& state_;
   Hooks hooks_;
-  std::map<std::string, std::string> shard_of_;                ///< machine -> part
-  std::map<std::string, std::uint64_t> home_shard_revisions_;  ///< as of the reading that shard_of_ is from
-  std::map<std::string, std::deque<Machine>> requested_;       ///< by part
+  std::map<std::string, std::string> shard_of_;           ///< machine -> part
+  std::map<std::string, Revision> home_shard_revisions_;  ///< as of the reading that shard_of_ is from
+  std::map<std::string, std::deque<Machine>> requested_;  ///< by part
   std::set<std::string> requested_names_;
   bool writing_ = false;
   bool reloading_ = false;
--- a/src/core/runtime/context.h
+++ b/src/core/runtime/context.h
@@ -6,6 +6,7 @@
 #include <map>
 #include <random>
 #include <string>
+#include <type_traits>
 #include <utility>
 #include <vector>
 
@@ -13,6 +14,7 @@
 #include "core/model/policy.h"
 #include "core/model/settings.h"
 #include "core/runtime/invariants.h"
+#include "core/runtime/log_message.h"
 
 namespace bendtide {
 
@@ -31,11 +33,16 @@
   void later(Micros delay, std::function<void()> what) { timers.emplace(now + delay, std::move(what)); }
   void act(Action a) { actions.push_back(std::move(a)); }
   void log(LogLevel level, std::string text) { act(LogLine{level, std::move(text)}); }
+  void info(const LogMessage& message) { log(LogLevel::info, message.text()); }
   void info(std::string text) { log(LogLevel::info, std::move(text)); }
   /// `make_text` is called only if the line is written: most are about every single call or task.
   template <class MakeText>
   void debug(MakeText&& make_text) {
-    if (debugging) log(LogLevel::debug, make_text());
+    if (!debugging) return;
+    if constexpr (std::is_convertible_v<decltype(make_text()), std::string>)
+      log(LogLevel::debug, make_text());
+    else
+      log(LogLevel::debug, make_text().text());
   }
   /// `story`: what is known of the job or part it is about.
   void violated(Invariant invariant, const std::string& story) {
--- a/src/core/state/controller_state.h
+++ b/src/core/state/controller_state.h
@@ -12,7 +12,7 @@
 struct ShardRoute {
   std::string host;
   std::string incarnation;
-  std::uint64_t revision = 0;
+  Revision revision = 0;
   Micros absent_since{0};
   bool ever_held = false;
 };
@@ -124,7 +124,9 @@
     return agrees;
   }
 
-  Compare fenced_by(const Shard& p) const { return {records::lease_key(p.name), p.fencing_token}; }
+  Compare fenced_by(const Shard& p) const {
+    return {records::lease_key(p.name), lease_record_revision(p.fencing_token)};
+  }
 };
 
 }  // namespace bendtide
--- a/src/core/state/machine.h
+++ b/src/core/state/machine.h
@@ -37,13 +37,13 @@
   double image_gb = 0;
   Micros placed_at{0};
   Micros running_since{0};
-  Micros stop_requested_at{0};             ///< when it was first unwanted
-  std::uint64_t start_sent_in = 0;         ///< the last heartbeat whose answer carried its start
-  int pushed_starts_in_flight = 0;         ///< direct starts not answered yet
-  std::uint64_t pushed_fencing_token = 0;  ///< the last fencing token under which it was started directly
+  Micros stop_requested_at{0};            ///< when it was first unwanted
+  std::uint64_t start_sent_in = 0;        ///< the last heartbeat whose answer carried its start
+  int pushed_starts_in_flight = 0;        ///< direct starts not answered yet
+  FencingToken pushed_fencing_token = 0;  ///< the last fencing token under which it was started directly
   /// A direct start under this fencing token may still be executed (late or once more), until the worker has
   /// shown a higher one. 0: none.
-  std::uint64_t late_start_token = 0;
+  FencingToken late_start_token = 0;
 
   bool takes_room() const { return seen != Seen::ended; }
 };
@@ -73,11 +73,11 @@
   /// When it was sent a fencing token of this holding that it has not shown since. Not set by what was surely
   /// lost.
   std::optional<Micros> token_sent_at;
-  Micros last_reply_at{0};               ///< when we last received a heartbeat that we answered with 200
-  bool lease_expired = false;            ///< its lease is surely over
-  std::uint64_t acknowledged_token = 0;  ///< in its newest status
+  Micros last_reply_at{0};              ///< when we last received a heartbeat that we answered with 200
+  bool lease_expired = false;           ///< its lease is surely over
+  FencingToken acknowledged_token = 0;  ///< in its newest status
   std::uint64_t last_reply_sequence_number = 0;  ///< the last heartbeat that we answered with commands
-  std::uint64_t last_reply_token = 0;            ///< the fencing token in that answer
+  FencingToken last_reply_token = 0;             ///< the fencing token in that answer
   Micros commands_sent_at{0};                    ///< when that answer was sent
   bool push_lost = false;                        ///< a pushed commands got no answer since the last heartbeat
   int lost_pushes = 0;                           ///< in a row, each followed by a heartbeat
--- a/src/core/state/shard.h
+++ b/src/core/state/shard.h
@@ -25,7 +25,7 @@
 /// One record of finished tasks. It holds those of many jobs, so that one write serves all that ended since
 /// the last.
 struct DoneSlot {
-  std::uint64_t revision = 0;
+  Revision revision = 0;
   std::set<std::pair<std::string, std::uint32_t>> chunks;  ///< job and chunk of its tasks
   std::size_t bytes = 0;                                   ///< at most, with every task done
   bool dirty = false;
@@ -34,7 +34,7 @@
 
 /// One record of machines that belong to the shard.
 struct OwnershipBlock {
-  std::uint64_t revision = 0;
+  Revision revision = 0;
   bool dirty = false;            ///< machines of it are gone
   bool urgent = false;           ///< machines of it came up, and are to be used
   bool writing = false;          ///< a write is under way
@@ -44,9 +44,9 @@
 struct Shard {
   enum class Stage : std::uint8_t { loading, ready };
   std::string name;
-  std::uint64_t fencing_token = 0;
-  std::uint64_t first_fencing_token = 0;  ///< of this holding: a status that shows less is from before it
-  std::uint64_t leadership_term = 0;      ///< of this holding in this process
+  FencingToken fencing_token = 0;
+  FencingToken first_fencing_token = 0;  ///< of this holding: a status that shows less is from before it
+  std::uint64_t leadership_term = 0;     ///< of this holding in this process
   Micros acquired_at{0};
   Stage stage = Stage::loading;
   bool advancing_fencing_token = false;
@@ -57,7 +57,7 @@
 
   std::map<std::string, Quota> quota_shares;
   std::map<std::string, Quota> quota_in_transfer;  ///< share in a write under way: neither ours nor given yet
-  std::uint64_t quota_revision = 0;
+  Revision quota_revision = 0;
   bool quota_write_in_flight = false;  ///< a write or read of our room record is under way
   bool quota_stale = false;            ///< somebody else wrote our room record
   bool reading_awards = false;
@@ -115,7 +115,7 @@
     return job.can_start(now) && !job.unreconciled && !award_is_stale(job, now);
   }
   /// Unique among all attempts that were ever made: fencing tokens are, and they grow.
-  std::uint64_t next_attempt() { return (fencing_token << 16) + ++starts; }
+  std::uint64_t next_attempt() { return (fencing_token.value() << 16) + ++starts; }
 
   // ---- sums, kept as things change ---------------------------------------------------------------
 
--- a/src/core/workers/fleet.h
+++ b/src/core/workers/fleet.h
@@ -48,7 +48,7 @@
     std::string shard;
     std::uint64_t leadership_term;
     std::string machine;
-    std::uint64_t fencing_token;
+    FencingToken fencing_token;
     Micros sent_at;
     std::vector<AttemptId> starts;
   };
--- a/src/core/workers/fleet_commands.cpp
+++ b/src/core/workers/fleet_commands.cpp
@@ -45,8 +45,7 @@
   state_.context.violated(Invariant::finished_job_stays_off,
                           id.task.job + "/" + std::to_string(id.task.index) + " attempt " +
                               std::to_string(id.attempt) + " was to be started by part " + shard.name +
-                              " under token " + std::to_string(shard.fencing_token) +
-                              ", but its job is over");
+                              " under token " + to_string(shard.fencing_token) + ", but its job is over");
   shard.end(*job);
   return false;
 }
@@ -56,7 +55,7 @@
                          const std::string& how) const {
   if (!state_.context.debugging) return;
   const std::string right = " on " + m.name + " " + how + ", session " + std::to_string(m.incarnation) +
-                            ", by part " + shard.name + " under token " + std::to_string(shard.fencing_token);
+                            ", by part " + shard.name + " under token " + to_string(shard.fencing_token);
   for (const Command& command : sent) {
     const auto job = shard.jobs.find(command.task.job);
     const bool over = job == shard.jobs.end() || job->second.ended;
--- a/src/wire/wire.cpp
+++ b/src/wire/wire.cpp
@@ -317,7 +317,7 @@
             {kSpot, r.spot},
             {kSession, r.incarnation},
             {kSequence, r.sequence_number},
-            {kToken, r.fencing_token},
+            {kToken, r.fencing_token.value()},
             {kTasks, std::move(tasks)}};
   if (r.preemption_notice) v[kNotice] = in_seconds(*r.preemption_notice);
   return v.dump();
@@ -331,7 +331,7 @@
 
 std::string body_of(const HeartbeatReply& r) {
   if (r.status == 200)
-    return json{{kToken, r.fencing_token}, {kCommandList, commands_json(r.commands)}}.dump();
+    return json{{kToken, r.fencing_token.value()}, {kCommandList, commands_json(r.commands)}}.dump();
   if (!r.redirect.empty()) return json{{kRedirect, r.redirect}}.dump();
   return "{}";
 }
@@ -348,14 +348,14 @@
     }
     HttpRequest operator()(const Transaction& r) {
       json compares = json::array(), writes = json::array();
-      for (const Compare& c : r.compares) compares.push_back({{kKey, c.key}, {kStamp, c.revision}});
+      for (const Compare& c : r.compares) compares.push_back({{kKey, c.key}, {kStamp, c.revision.value()}});
       for (const Write& w : r.writes) {
         if (!w.value) {
           writes.push_back({{kRemove, w.key}});
           continue;
         }
         json entry = {{kPut, w.key}, {kValue, *w.value}};
-        if (w.lease != 0) entry[kLease] = w.lease;
+        if (w.lease != 0) entry[kLease] = w.lease.value();
         writes.push_back(std::move(entry));
       }
       return {"POST", kMulti, json{{kWhen, std::move(compares)}, {kWrites, std::move(writes)}}.dump()};
@@ -364,7 +364,7 @@
       return {"POST", kLeases, json{{kTtl, r.term.count() / 1000}}.dump()};
     }
     HttpRequest operator()(const RenewLease& r) {
-      return {"POST", std::string(kLeases) + "/" + std::to_string(r.lease) + kRenew, "{}"};
+      return {"POST", std::string(kLeases) + "/" + to_string(r.lease) + kRenew, "{}"};
     }
   };
   return std::visit(Visitor{}, request);
@@ -515,10 +515,11 @@
 // ---- workers -------------------------------------------------------------------------------------
 
 HttpRequest request_of(const CommandRequest& r) {
-  return {
-      "POST", kCommands,
-      json{{kToken, r.fencing_token}, {kSession, r.incarnation}, {kCommandList, commands_json(r.commands)}}
-          .dump()};
+  return {"POST", kCommands,
+          json{{kToken, r.fencing_token.value()},
+               {kSession, r.incarnation},
+               {kCommandList, commands_json(r.commands)}}
+              .dump()};
 }
 
 CommandResponse command_response(int status, std::string_view body) {
--- a/tests/sim/simulated_cluster.cpp
+++ b/tests/sim/simulated_cluster.cpp
@@ -407,7 +407,7 @@
                   (!spec.zone || *spec.zone == other.zone))
                 continue;
               // The order must look right to the worker: its own fencing token and incarnation.
-              CommandRequest order{other.name, 1, reply.fencing_token + 1'000'000, {o}};
+              CommandRequest order{other.name, 1, reply.fencing_token.value() + 1'000'000, {o}};
               other.worker->orders(wire::request_of(order).body, now_);
               break;
             }
--- a/tests/sim/simulated_cluster.h
+++ b/tests/sim/simulated_cluster.h
@@ -57,7 +57,7 @@
   cancel_now,           ///< users call off jobs that run, all at once; their machines hang meanwhile
   meet_ends,            ///< users cancel, ask and submit again as the last task of their job ends
   state_answers_late,   ///< a share of the key-value store's answers comes up to a second after the request
-                       ///< was served
+                        ///< was served
   count
 };
 
--- a/tests/size_test.cpp
+++ b/tests/size_test.cpp
@@ -161,7 +161,7 @@
     for (auto actions = core_->take_actions(now_); !actions.empty(); actions = core_->take_actions(now_))
       for (Action& action : actions) perform(action);
   }
-  void take(const std::string& name, std::uint64_t fencing_token, const std::vector<Command>& orders) {
+  void take(const std::string& name, FencingToken fencing_token, const std::vector<Command>& orders) {
     token_[name] = std::max(token_[name], fencing_token);
     std::vector<TaskStatus>& held = tasks_[name];
     for (const Command& o : orders)
@@ -196,7 +196,7 @@
   Micros now_{seconds(1)};
   std::vector<std::string> machines_;
   std::map<std::string, std::vector<TaskStatus>> tasks_;
-  std::map<std::string, std::uint64_t> token_;
+  std::map<std::string, FencingToken> token_;
   std::string reporting_;
   std::uint64_t request_ = 0, sequence_ = 0;
   std::size_t state_calls_ = 0, cloud_calls_ = 0, deleted_ = 0;
