--- a/lab/controllers.cpp
+++ b/lab/controllers.cpp
@@ -101,7 +101,7 @@
   if (pid == 0) become(lab_.plan.program, settings_file(controller), log_file(controller));
   if (pid < 0) throw std::runtime_error("a controller can't be started");
   at(controller) = {pid, false};
-  lab_.final_states.add(Laboratory::host(controller) + ": is started");
+  lab_.history.add(Laboratory::host(controller) + ": is started");
 }
 
 void Controllers::kill(int controller) {
@@ -110,7 +110,7 @@
   ::kill(process.pid, SIGKILL);
   ::waitpid(process.pid, nullptr, 0);
   process = {};
-  lab_.final_states.add(Laboratory::host(controller) + ": is killed");
+  lab_.history.add(Laboratory::host(controller) + ": is killed");
 }
 
 void Controllers::pause(int controller) {
@@ -118,7 +118,7 @@
   if (process.pid <= 0 || process.paused) return;
   ::kill(process.pid, SIGSTOP);
   process.paused = true;
-  lab_.final_states.add(Laboratory::host(controller) + ": stands still");
+  lab_.history.add(Laboratory::host(controller) + ": stands still");
 }
 
 void Controllers::resume(int controller) {
@@ -126,7 +126,7 @@
   if (process.pid <= 0 || !process.paused) return;
   ::kill(process.pid, SIGCONT);
   process.paused = false;
-  lab_.final_states.add(Laboratory::host(controller) + ": goes on");
+  lab_.history.add(Laboratory::host(controller) + ": goes on");
 }
 
 io::Task<> Controllers::watch() {
@@ -136,7 +136,7 @@
       if (process.pid <= 0 || ::waitpid(process.pid, nullptr, WNOHANG) != process.pid) continue;
       process = {};
       ++unexpected_ends_;
-      lab_.final_states.add(Laboratory::host(i) + ": has ended by itself");
+      lab_.history.add(Laboratory::host(i) + ": has ended by itself");
       start(i);
     }
     co_await lab_.loop.sleep(kWatchEvery);
--- a/lab/fault_injector.cpp
+++ b/lab/fault_injector.cpp
@@ -54,7 +54,7 @@
   co_await lab_.loop.sleep(seconds(8));
   while (lab_.now() < lab_.plan.faults_for) {
     const Fault& fault = faults().at(static_cast<std::size_t>(lab_.pick(static_cast<int>(faults().size()))));
-    lab_.final_states.add(std::string("injector: ") + fault.name);
+    lab_.history.add(std::string("injector: ") + fault.name);
     ++injected_;
     (this->*fault.inject)();
     co_await lab_.loop.sleep(lab_.between(0.2, kLongestPause));
@@ -75,7 +75,7 @@
 
 /// What still lasts ends by itself within seconds; machines that were lost or changed for good stay so.
 void FaultInjector::calm() {
-  lab_.final_states.add("injector: all is calm");
+  lab_.history.add("injector: all is calm");
   set_state_latency(0, 0);
 }
 
--- a/lab/laboratory.cpp
+++ b/lab/laboratory.cpp
@@ -28,7 +28,7 @@
       began(loop.now()),
       random(plan.seed),
       settings(make_settings()),
-      final_states([this] { return now(); }),
+      history([this] { return now(); }),
       checker(settings) {}
 
 }  // namespace bendtide::lab
--- a/lab/laboratory.h
+++ b/lab/laboratory.h
@@ -70,7 +70,7 @@
   Micros began{0};
   std::mt19937_64 random;
   Settings settings;
-  History final_states;
+  History history;
   sim::Checker checker;
   std::map<std::string, JobSpec> specs;
   bool closing = false;  ///< all coroutines end
--- a/lab/soak.cpp
+++ b/lab/soak.cpp
@@ -37,7 +37,7 @@
       injector_(lab_, controllers_, state_, workers_, users_) {}
 
 Verdict Soak::run() {
-  lab_.loop.on_error = [this](const std::string& what) { lab_.final_states.add("laboratory: " + what); };
+  lab_.loop.on_error = [this](const std::string& what) { lab_.history.add("laboratory: " + what); };
   state_.run();
   workers_.run();
   controllers_.run();
--- a/lab/soak.h
+++ b/lab/soak.h
@@ -28,7 +28,7 @@
   Verdict run();
   /// What happened to the jobs of broken rules, or to `subject`.
   void print_history(std::ostream& out, const std::string& subject) const {
-    lab_.final_states.print(out, subject);
+    lab_.history.print(out, subject);
   }
 
  private:
--- a/lab/soak_main.cpp
+++ b/lab/soak_main.cpp
@@ -83,8 +83,8 @@
   }
   for (std::size_t i = 0; i < std::min(kShown, verdict.faults.size()); ++i)
     std::cout << "FAULT " << verdict.faults[i] << "\n";
-  const std::string final_states = options.directory + "/history.txt";
-  std::ofstream out(final_states);
+  const std::string history = options.directory + "/history.txt";
+  std::ofstream out(history);
   soak.print_history(out, "");
   std::cout << verdict.faults.size() << " faults. Logs and history: " << options.directory
             << "\nplay it again: bendtide_soak --program " << options.program << " --seed " << options.seed
--- a/lab/user_crowd.cpp
+++ b/lab/user_crowd.cpp
@@ -195,7 +195,7 @@
   const io::HttpClient::Result result = co_await perform(lab_.loop, std::move(call));
   const Answer answer = read(question.job, result);
   ++(answer.status == 0 || answer.status == 503 ? refusals_ : answers_);
-  lab_.final_states.add(question.job + ": " + question.method + " " + question.target + " at " +
+  lab_.history.add(question.job + ": " + question.method + " " + question.target + " at " +
                         Laboratory::host(question.controller) + " -> " + std::to_string(answer.status) + " " +
                         to_text(answer.phase) + " after " +
                         std::to_string((lab_.now() - asked).count() / 1000) + " ms");
--- a/lab/worker_fleet.cpp
+++ b/lab/worker_fleet.cpp
@@ -69,7 +69,7 @@
       lab_.loop, found->second.address,
       [this, machine](http::Message request) { return serve_commands(machine, std::move(request)); }));
   lab_.loop.spawn(desks_.back()->run());
-  lab_.final_states.add(machine + ": is up");
+  lab_.history.add(machine + ": is up");
   co_await live(machine);
 }
 
@@ -89,7 +89,7 @@
 void WorkerFleet::kill(const std::string& machine) {
   const auto found = cloud_.machines().find(machine);
   if (found == cloud_.machines().end() || found->second.dead) return;
-  lab_.final_states.add(machine + ": dies");
+  lab_.history.add(machine + ": dies");
   cloud_.die(found->second);
 }
 
@@ -123,7 +123,7 @@
   const json message = json::parse(body, nullptr, false);
   if (!message.is_object() || !message.contains(kCommandList)) return;
   for (const json& order : message.at(kCommandList))
-    lab_.final_states.add(order.at(kTask).get<std::string>() + " attempt " + order.at(kAttempt).dump() +
+    lab_.history.add(order.at(kTask).get<std::string>() + " attempt " + order.at(kAttempt).dump() +
                           ": " + machine + " is told " + how + " to " + order.at(kVerb).get<std::string>() +
                           " under token " + message.value(kToken, json(nullptr)).dump());
 }
