--- a/tests/sim/services.cpp
+++ b/tests/sim/services.cpp
@@ -94,6 +94,29 @@
   return {400, "{}"};
 }
 
+json StateService::snapshot() const {
+  json rows = json::array();
+  json leases = json::array();
+  for (const auto& [key, entry] : data_)
+    rows.push_back({{"key", key}, {"value", entry.value}, {"stamp", entry.revision}, {"lease", entry.lease}});
+  for (const auto& [id, lease] : leases_) leases.push_back({{"lease", id}, {"term_us", lease.term.count()}});
+  return {{"revision", revision_}, {"next_lease", next_lease_}, {"leases", leases}, {"rows", rows}};
+}
+
+void StateService::restore(const json& snapshot, Micros now) {
+  data_.clear();
+  leases_.clear();
+  revision_ = snapshot.at("revision").get<std::uint64_t>();
+  next_lease_ = snapshot.at("next_lease").get<std::uint64_t>();
+  for (const json& entry : snapshot.at("rows"))
+    data_[entry.at("key").get<std::string>()] = {entry.at("value"), entry.at("stamp").get<std::uint64_t>(),
+                                                 entry.at("lease").get<std::uint64_t>()};
+  for (const json& lease : snapshot.at("leases")) {
+    const Micros term{lease.at("term_us").get<std::int64_t>()};
+    leases_[lease.at("lease").get<std::uint64_t>()] = {term, now + term};
+  }
+}
+
 Response StateService::multi(const json& body, Micros now) {
   const json& writes = body.at(kWrites);
   if (writes.size() > most_writes_ || body.at(kWhen).size() > 4 * most_writes_) {
--- a/tests/sim/services.h
+++ b/tests/sim/services.h
@@ -30,6 +30,10 @@
   /// An outage; when it ends, every lease has its full time again.
   void outage(bool on, Micros now);
   std::size_t keys() const { return data_.size(); }
+  /// Everything that is stored, with its revisions and leases.
+  nlohmann::json snapshot() const;
+  /// Replaces what is stored by a snapshot; every lease has its full time again.
+  void restore(const nlohmann::json& snapshot, Micros now);
   std::size_t refused() const { return refused_; }
   std::size_t too_large() const { return too_large_; }
 
