--- a/src/app/config.cpp
+++ b/src/app/config.cpp
@@ -4,6 +4,7 @@
 
 #include <cmath>
 #include <fstream>
+#include <optional>
 #include <set>
 #include <sstream>
 
@@ -81,6 +82,33 @@
 
 std::int64_t thousandths(double d) { return static_cast<std::int64_t>(std::floor(d * 1000.0 + 1e-6)); }
 
+std::optional<Objective::Kind> objective_kind(const std::string& word) {
+  if (word == "wait") return Objective::Kind::wait;
+  if (word == "finished") return Objective::Kind::finished;
+  if (word == "deadline") return Objective::Kind::deadline;
+  if (word == "guarantee") return Objective::Kind::guarantee;
+  return std::nullopt;
+}
+
+/// None for an objective that has no effect here: its kind is new or decides on nothing, or it comes with
+/// other fields and so is meant otherwise.
+std::optional<Objective> supported_objective(const Section& section) {
+  const std::optional<Objective::Kind> kind = objective_kind(section.text("kind"));
+  if (!kind) return std::nullopt;
+  const bool of_class = *kind != Objective::Kind::guarantee;
+  const char* measure = *kind == Objective::Kind::deadline ? "times" : "within_s";
+  if (!section.has(measure) || (of_class && !section.has("class"))) return std::nullopt;
+  Objective objective;
+  objective.kind = *kind;
+  if (of_class) objective.job_class = section.text("class");
+  const double amount = section.positive(measure);
+  if (*kind == Objective::Kind::deadline)
+    objective.times = amount;
+  else
+    objective.within = seconds(amount);
+  return objective;
+}
+
 Settings read(const Section& top) {
   Settings s;
   s.host = top.text("host_name");
@@ -113,21 +141,10 @@
   });
   if (s.teams.empty()) settings.fail("teams", "missing");
   settings.each("objectives", [&](const Section& objective) {
-    Objective o;
-    double within = 0;
-    o.kind = objective.text("kind");
-    const bool of_class = o.kind == "wait" || o.kind == "deadline" || o.kind == "finished";
-    const char* measure = o.kind == "deadline" ? "times" : "within_s";
-    if (!(of_class || o.kind == "guarantee") || !objective.has(measure) ||
-        (of_class && !objective.has("class"))) {
-      // A new kind, one that nothing here is ordered by, or one that is meant otherwise.
-      s.ignored_objectives.insert(o.kind);
-      return;
-    }
-    if (of_class) o.job_class = objective.text("class");
-    (o.kind == "deadline" ? o.times : within) = objective.positive(measure);
-    o.within = seconds(within);
-    s.objectives.push_back(std::move(o));
+    if (auto supported = supported_objective(objective))
+      s.objectives.push_back(std::move(*supported));
+    else
+      s.ignored_objectives.insert(objective.text("kind"));
   });
   const Section workers = settings.section("workers");
   s.heartbeat_interval = seconds(workers.positive("report_s"));
--- a/src/core/controller/overview.cpp
+++ b/src/core/controller/overview.cpp
@@ -72,7 +72,7 @@
                      {"awards", job.awards.size()},
                      {"no_room_for", job.overflow},
                      {"share_used_up", job.quota_share_exhausted},
-                     {"no_machine_to_rent", job.unrentable},
+                     {"no_machine_to_rent", job.no_offering},
                      {"suspect", job.suspect()}});
     }
   return out;
--- a/src/core/negotiation/contract_net.cpp
+++ b/src/core/negotiation/contract_net.cpp
@@ -422,7 +422,7 @@
     // A job that no machine can be had for does not hold on to share that others can use. Nor does one that
     // can't start with what is left here: pieces go to the job that waits longest, or two shards would each
     // keep one for ever.
-    if (job.unrentable || (transfer.waits_since < job.accepted && unused.holds(each) == 0)) continue;
+    if (job.no_offering || (transfer.waits_since < job.accepted && unused.holds(each) == 0)) continue;
     free -= each * (job.suspect() ? 1 : static_cast<std::int64_t>(job.waiting.size()));
   }
   QuotaMove move;
--- a/src/core/placement/scheduler.cpp
+++ b/src/core/placement/scheduler.cpp
@@ -10,8 +10,6 @@
 /// A task that is told to stop is gone by then, if it saves nothing or little.
 constexpr Micros kStopDuration = seconds(4);
 constexpr Micros kPassInterval = millis(500);  ///< if nothing has changed
-/// Work of a job has to begin within 4 minutes. From the half of that on it goes before its equals.
-constexpr Micros kLongestWaitForFirstTask = seconds(120);
 
 }  // namespace
 
@@ -36,11 +34,12 @@
   for (const Objective& o : state_.context.settings.objectives) {
     if (o.job_class != job.spec.job_class) continue;
     Micros within = o.within;  // of its acceptance; of its start for `wait`, else of its end
-    if (o.kind == "deadline" && job.spec.deadline)
+    if (o.kind == Objective::Kind::deadline && job.spec.deadline)
       within = seconds(o.times * in_seconds(*job.spec.deadline));
-    else if (o.kind != "wait" && o.kind != "finished")
+    else if (o.kind != Objective::Kind::wait && o.kind != Objective::Kind::finished)
       continue;
-    const Micros start_by = job.accepted + within - (o.kind == "wait" ? Micros{0} : job.spec.estimate);
+    const Micros start_by =
+        job.accepted + within - (o.kind == Objective::Kind::wait ? Micros{0} : job.spec.estimate);
     if (state_.context.wall > start_by)
       ++out.missed_objectives;
     else
@@ -59,7 +58,8 @@
     auto [missed_objectives, start_by] = urgency(job);
     // Where there is always something more pressing, one that has long been waiting for its first task would
     // never begin.
-    if (job.done == 0 && job.present == 0 && state_.context.wall - job.accepted > kLongestWaitForFirstTask)
+    if (job.done == 0 && job.present == 0 &&
+        state_.context.wall - job.accepted > Settings::kLongestWaitForFirstTask)
       missed_objectives = -1;
     shard.queue.push_back({&job, missed_objectives, start_by,
                            (shard.used(team) + quota_of(job.spec.each)).fits_in(guarantee(shard, team))});
@@ -223,7 +223,7 @@
   auto may_preempt = [&](const Job& job) {
     if (preemptible.lowest < job.spec.priority) return true;
     const auto& over = preemptible.over_guarantee;
-    return job.unrentable && over.size() > (over.contains(job.spec.team) ? 1u : 0u);
+    return job.no_offering && over.size() > (over.contains(job.spec.team) ? 1u : 0u);
   };
   // Room that comes free by itself in time, as far as it is not counted on yet.
   std::int64_t being_released = 0;
@@ -244,7 +244,7 @@
     // One that may be faulty itself needs room for one try, or with no machine left it would wait for ever.
     job.overflow = job.suspect() ? std::uint32_t{job.present == 0 && !job.waiting.empty()}
                                  : static_cast<std::uint32_t>(job.waiting.size());
-    if (job.overflow == 0) job.refused = job.unrentable = false;
+    if (job.overflow == 0) job.refused = job.no_offering = false;
     if (job.overflow > 0 && attempts > 0 && may_preempt(job)) {
       --attempts;
       for (FreeCapacity& capacity : free) capacity.free = capacity.machine->free();
@@ -257,7 +257,7 @@
 Micros Scheduler::guarantee_within() const {
   Micros within{0};
   for (const Objective& o : state_.context.settings.objectives)
-    if (o.kind == "guarantee" && (within == Micros{0} || o.within < within)) within = o.within;
+    if (o.kind == Objective::Kind::guarantee && (within == Micros{0} || o.within < within)) within = o.within;
   return within;
 }
 
@@ -323,7 +323,7 @@
     // For a guarantee, work of equal priority is stopped only where no machine is to be had, and work of
     // higher priority never: a service would be down for an array.
     if (victim.spec.priority > job.spec.priority || victim.spec.team == job.spec.team) return false;
-    if (!job.unrentable || within_guarantee <= 0) return false;
+    if (!job.no_offering || within_guarantee <= 0) return false;
     auto [it, fresh] = left.try_emplace(victim.spec.team);
     if (fresh) it->second = shard.used(victim.spec.team);
     return !it->second.fits_in(guarantee(shard, victim.spec.team));
--- a/src/core/provisioning/autoscaler.cpp
+++ b/src/core/provisioning/autoscaler.cpp
@@ -13,8 +13,6 @@
 constexpr double kSlowBoot = 120;      ///< a boot of this many seconds doubles the price in our eyes
 constexpr std::size_t kNamesPerDelete = 100;
 constexpr int kMachinesPerCreation = 50;
-/// Opportunistic work that has not begun by then gets a machine for its first task at any price.
-constexpr Micros kLongestWait = seconds(120);
 constexpr Micros kLeastPaid = seconds(60);  ///< a machine costs as much even if it is returned earlier
 
 }  // namespace
@@ -196,7 +194,8 @@
     if (state_.context.settings.best_effort(job.spec)) {
       // It has to begin all the same.
       demand.best_effort = true;
-      const bool too_long = !job.begun() && state_.context.wall - job.accepted > kLongestWait;
+      const bool too_long =
+          !job.begun() && state_.context.wall - job.accepted > Settings::kLongestWaitForFirstTask;
       demand.spot_only = !too_long;
       if (too_long) demand.tasks = std::min<std::int64_t>(demand.tasks, 1);
     }
@@ -218,7 +217,7 @@
   for (Demand& demand : demands)
     while (demand.tasks > 0 && machines < kMachinesPerCreation) {
       auto offering = cheapest_offering(shard, demand, demands);
-      demand.job->unrentable = !offering;
+      demand.job->no_offering = !offering;
       if (!offering) break;
       MachinesWanted& wanted = out[*offering];
       ++wanted.count;
@@ -323,7 +322,8 @@
   // The first task of a job is left in peace: it would have to begin elsewhere within its time.
   for (auto& [id, p] : m.tasks) {
     auto job = shard.jobs.find(id.task.job);
-    if (state_.context.wall - job->second.accepted < kLongestWait * 2 && job->second.present == 1) continue;
+    if (state_.context.wall - job->second.accepted < Settings::kFirstTaskWithin && job->second.present == 1)
+      continue;
     shard.change(m, id, p, [](Placement& q) { q.wanted = false; });
     shard.request_push(m);
   }
--- a/src/core/state/job.h
+++ b/src/core/state/job.h
@@ -38,24 +38,27 @@
   std::vector<std::uint32_t> unrecorded;  ///< done, but not in the key-value store yet
   std::uint32_t present = 0;              ///< placements of it that take room, of any attempt
   std::set<std::string> failed_on;        ///< machines on which a task of it failed
-  bool succeeded = false;
-  Micros retry_at{0};
-  int failures = 0;
+  bool succeeded = false;                 ///< whether any task of it is done
+  Micros retry_at{0};                     ///< steady clock; nothing of it is started before
+  int failures = 0;                       ///< of its tasks, in all; the pause before a retry grows with them
 
   // contract net, at the owner
   std::map<std::string, std::string> awards;  ///< award key -> winning part
   std::uint32_t tasks_in_award = 0;           ///< tasks in an award whose write is under way
   Micros next_call{0};
-  bool refused = false;        ///< the last call found no room elsewhere: machines are to be rented
-  bool unrentable = false;     ///< the cloud has nothing for it
-  std::uint32_t overflow = 0;  ///< tasks that found no room in the last pass
-  bool quota_share_exhausted = false;
-  bool only_where_cached = false;  ///< room is being made on a machine that caches its image
+  bool refused = false;  ///< the last call found no room elsewhere: machines are to be rented
+
+  // found out by the last scheduling pass and the last scale out
+  std::uint32_t overflow = 0;          ///< tasks that found no capacity in this shard
+  bool quota_share_exhausted = false;  ///< the shard's share of the team's quota does not allow more tasks
+  bool only_where_cached = false;      ///< capacity is being released on a machine that caches its image
+  bool no_offering = false;            ///< the cloud offers no machine for it at present
 
   /// Whether any task of it has been placed or is done.
   bool begun() const { return done > 0 || present > 0 || waiting.size() < tasks.size(); }
   bool can_start(Micros now) const { return !ended && !finalizing && !waiting.empty() && now >= retry_at; }
-  /// A job that fails on several machines and never succeeds is taken to be faulty itself.
+  /// A job that failed on several machines and never succeeded is taken to be faulty itself: it gets one
+  /// attempt at a time.
   bool suspect() const { return !succeeded && failed_on.size() >= 2; }
   Micros due() const { return spec.deadline ? accepted + *spec.deadline : Micros::max(); }
 
--- a/src/core/state/shard.h
+++ b/src/core/state/shard.h
@@ -14,12 +14,13 @@
 
 namespace bendtide {
 
-/// A job that has tasks to start, in the order in which its shard serves them.
+/// A job that has tasks to start, with what decides on its position in the queue of its shard
+/// (placement/queue_order.h).
 struct QueueEntry {
   Job* job = nullptr;
-  int missed_objectives = 0;  ///< objectives that it misses anyway
-  Micros start_by{0};         ///< for the next that it can keep
-  bool guaranteed = false;
+  int missed_objectives = 0;  ///< that it can't meet any more; -1 if its first task is overdue
+  Micros start_by{0};         ///< wall clock; the latest start for the next objective that it can meet
+  bool guaranteed = false;    ///< one more task of it is within the guarantee of its team
 };
 
 /// One record of finished tasks. It holds those of many jobs, so that one write serves all that ended since
@@ -76,7 +77,7 @@
   std::uint64_t starts = 0;  ///< numbers the attempts under this holding
 
   std::vector<QueueEntry> queue;  ///< as of the last pass
-  Micros next_pass{0};            ///< a pass over everything; at once if something has changed
+  Micros next_pass{0};            ///< steady clock; the next scheduling pass, zero if something has changed
   Micros next_watch{0};
   std::map<std::string, Micros> cut_zones;  ///< whose machines can't be reached, and since when
   Micros cut_over{0};                       ///< when one of them was last reached again
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -102,7 +102,8 @@
            {"it is not of the lowest priority", "guests", Priority::normal, false, false, true}}) {
     for (const bool spot_to_be_had : {true, false}) {
       RentingPart t;
-      if (c.has_objective) t.context.settings.objectives = {{"finished", c.team, seconds(400), 1}};
+      if (c.has_objective)
+        t.context.settings.objectives = {{Objective::Kind::finished, c.team, seconds(400), 1}};
       if (!spot_to_be_had) t.renter.on_capacity_exhausted({"small", "z", true});
       t.add("run-1", c.team, Shape::array, c.priority, 4);
       t.pass();
