--- /dev/null
+++ b/src/core/placement/placer.cpp
@@ -0,0 +1,145 @@
+#include "core/placement/placer.h"
+
+#include <algorithm>
+
+namespace bendtide {
+
+namespace {
+
+/// The fetch of an image is short if the task runs more than this many times longer.
+constexpr int kShortFetch = 10;
+
+bool has_attempt_of(const Machine& machine, const TaskId& task) {
+  const auto attempt = machine.tasks.lower_bound(AttemptId{task, 0});
+  return attempt != machine.tasks.end() && attempt->first.task == task;
+}
+
+}  // namespace
+
+TasksPerZone tasks_per_zone_of(const Shard& shard, const Job& job) {
+  TasksPerZone count;
+  if (!job.spec.needs_one_decider()) return count;
+  for (const auto& [name, machine] : shard.machines) {
+    auto attempt = machine.tasks.lower_bound(AttemptId{{job.spec.id, 0}, 0});
+    for (; attempt != machine.tasks.end() && attempt->first.task.job == job.spec.id; ++attempt)
+      if (attempt->second.takes_room()) ++count[machine.zone];
+  }
+  return count;
+}
+
+bool is_allowed_on(const Job& job, const Machine& machine, const TasksPerZone& tasks_per_zone) {
+  const JobSpec& spec = job.spec;
+  if (machine.spot && !spec.spot) return false;
+  if (spec.zone && *spec.zone != machine.zone) return false;
+  if (!spec.allows_type(machine.type)) return false;
+  if (spec.one_zone && !tasks_per_zone.empty() && !tasks_per_zone.contains(machine.zone)) return false;
+  if (!spec.spread) return true;
+  const auto in_zone = tasks_per_zone.find(machine.zone);
+  const std::int64_t half = (static_cast<std::int64_t>(spec.tasks) + 1) / 2;
+  return in_zone == tasks_per_zone.end() || in_zone->second < half;
+}
+
+/// How well a machine suits a job; the greater the better, the fields compared in this order.
+struct Placer::Preference {
+  bool image_ready;   ///< the image is cached, or its fetch is short beside the run
+  bool near;          ///< for services: in our zone, as they keep running there when other zones are cut off
+  bool same_shape;    ///< services keep a machine for long: they share machines with services only
+  bool spot_if_able;  ///< on-demand machines are left to the jobs that need them
+  std::int64_t fit;   ///< the fullest, so that others run empty and are returned; but where the image has to
+                      ///< be fetched anyway, the one with most free CPUs
+  auto operator<=>(const Preference&) const = default;
+};
+
+Placer::Preference Placer::preference(const Job& job, const FreeCapacity& capacity) const {
+  const Machine& machine = *capacity.machine;
+  const bool service = job.spec.shape == Shape::service;
+  const bool short_fetch = state_.fetch_time(job.spec, machine.type) * kShortFetch < job.spec.estimate;
+  const bool image_ready = short_fetch || machine.images.contains(job.spec.image);
+  return {.image_ready = image_ready,
+          .near = !service || machine.zone == state_.context.settings.zone,
+          .same_shape = (machine.services > 0) == service,
+          .spot_if_able = machine.spot && job.spec.spot,
+          .fit = image_ready || service ? -capacity.free.cpu : capacity.free.cpu};
+}
+
+bool Placer::is_candidate(const Shard& shard, const Job& job, const FreeCapacity& capacity,
+                          const TasksPerZone& tasks_per_zone) const {
+  const Machine& machine = *capacity.machine;
+  if (!job.spec.each.fits_in(capacity.free) || !is_allowed_on(job, machine, tasks_per_zone)) return false;
+  if (job.failed_on.contains(machine.name) && shard.machines.size() > job.failed_on.size()) return false;
+  return !job.only_where_cached || machine.images.contains(job.spec.image);
+}
+
+bool Placer::justifies_machine(const Shard& shard, const Job& job, const Machine& machine) const {
+  const Settings& settings = state_.context.settings;
+  if (machine.spot || !job.begun() || !settings.best_effort(job.spec)) return true;
+  return std::any_of(machine.tasks.begin(), machine.tasks.end(), [&](const auto& task) {
+    const auto other = shard.jobs.find(task.first.task.job);
+    return task.second.wanted && other != shard.jobs.end() && !settings.best_effort(other->second.spec);
+  });
+}
+
+std::vector<FreeCapacity> Placer::free_capacities(Shard& shard) const {
+  std::vector<FreeCapacity> capacities;
+  for (auto& [name, machine] : shard.machines)
+    if (fleet_.usable(machine)) capacities.push_back({&machine, machine.free(), machine.being_released});
+  return capacities;
+}
+
+void Placer::place_task(Shard& shard, Job& job, std::uint32_t index, Machine& machine) {
+  const AttemptId id{{job.spec.id, index}, shard.next_attempt()};
+  shard.place(machine, id, &job).placed_at = state_.now();
+  job.leave_waiting(index, {Task::State::placed, &machine, id.attempt});
+  state_.context.debug([&] {
+    LogMessage message("place");
+    message.shard(shard.name).token(shard.fencing_token).job(job.spec.id);
+    message.task(index).attempt(id.attempt).machine(machine.name);
+    if (!job.owner.empty()) message.detail("awarded_by", job.owner);
+    return message;
+  });
+  machine.idle_since = state_.now();
+  // Tasks waiting for the same image share its fetch: it counts as cached from now on.
+  machine.images[job.spec.image] = {state_.now(), job.spec.image_gb};
+  shard.request_push(machine);
+}
+
+void Placer::place_on(Shard& shard, Job& job, FreeCapacity& capacity, TasksPerZone& tasks_per_zone) {
+  Machine& machine = *capacity.machine;
+  if (!justifies_machine(shard, job, machine)) return;
+  const Quota each = quota_of(job.spec.each);
+  const bool one_at_a_time = job.suspect();
+  while (!job.waiting.empty() && job.spec.each.fits_in(capacity.free) &&
+         is_allowed_on(job, machine, tasks_per_zone)) {
+    if (!each.fits_in(shard.free_quota_share(job.spec.team))) {
+      job.quota_share_exhausted = true;
+      return;
+    }
+    const std::uint32_t index = job.waiting.back();
+    // A worker runs one attempt of a task at a time, and the earlier one may not be over.
+    if (has_attempt_of(machine, {job.spec.id, index})) return;
+    place_task(shard, job, index, machine);
+    capacity.free -= job.spec.each;
+    if (job.spec.needs_one_decider()) ++tasks_per_zone[machine.zone];
+    if (one_at_a_time) return;
+  }
+}
+
+void Placer::place_on_best(Shard& shard, Job& job, std::vector<FreeCapacity>& capacities,
+                           TasksPerZone& tasks_per_zone) {
+  struct Candidate {
+    Preference preference;
+    FreeCapacity* capacity;
+  };
+  std::vector<Candidate> candidates;
+  for (FreeCapacity& capacity : capacities)
+    if (is_candidate(shard, job, capacity, tasks_per_zone))
+      candidates.push_back({preference(job, capacity), &capacity});
+  std::stable_sort(candidates.begin(), candidates.end(),
+                   [](const Candidate& a, const Candidate& b) { return a.preference > b.preference; });
+  for (const Candidate& candidate : candidates) {
+    place_on(shard, job, *candidate.capacity, tasks_per_zone);
+    if (job.waiting.empty() || job.quota_share_exhausted || job.suspect()) return;
+  }
+}
+
+}  // namespace bendtide
--- /dev/null
+++ b/src/core/placement/queue_order.cpp
@@ -0,0 +1,80 @@
+#include "core/placement/queue_order.h"
+
+#include <tuple>
+
+#include "core/placement/guarantee.h"
+
+namespace bendtide {
+
+namespace {
+
+/// In place of the number of missed objectives: before all jobs of the same priority.
+constexpr int kBeforeAllObjectives = -1;
+
+/// The latest start (wall clock) with which the job meets the objective; none if the objective does not
+/// concern it.
+std::optional<Micros> latest_start(const Job& job, const Objective& objective) {
+  switch (objective.kind) {
+    case Objective::Kind::wait:
+      return job.accepted + objective.within;
+    case Objective::Kind::finished:
+      return job.accepted + objective.within - job.spec.estimate;
+    case Objective::Kind::deadline: {
+      if (!job.spec.deadline) return std::nullopt;
+      const Micros within = seconds(objective.times * in_seconds(*job.spec.deadline));
+      return job.accepted + within - job.spec.estimate;
+    }
+    case Objective::Kind::guarantee:
+      break;  // concerns teams, not single jobs
+  }
+  return std::nullopt;
+}
+
+bool first_task_is_overdue(const Job& job, const Context& context) {
+  return job.done == 0 && job.present == 0 &&
+         context.wall - job.accepted > Settings::kLongestWaitForFirstTask;
+}
+
+auto rank(const QueueEntry& entry) {
+  const Job& job = *entry.job;
+  return std::tuple(-static_cast<int>(job.spec.priority), entry.missed_objectives, !entry.guaranteed,
+                    entry.start_by, job.accepted, std::string_view(job.spec.id));
+}
+
+}  // namespace
+
+Urgency urgency_of(const Job& job, const Context& context) {
+  Urgency urgency{0, job.due()};
+  if (job.spec.shape != Shape::array) return urgency;
+  for (const Objective& objective : context.settings.objectives) {
+    if (objective.job_class != job.spec.job_class) continue;
+    const std::optional<Micros> start_by = latest_start(job, objective);
+    if (!start_by) continue;
+    if (context.wall > *start_by)
+      ++urgency.missed_objectives;
+    else
+      urgency.start_by = std::min(urgency.start_by, *start_by);
+  }
+  return urgency;
+}
+
+void rebuild_queue(Shard& shard, const Context& context) {
+  shard.queue.clear();
+  for (auto& [id, job] : shard.jobs) {
+    job.overflow = 0;
+    job.quota_share_exhausted = false;
+    if (!shard.may_start(job, context.now)) continue;
+    const std::string& team = job.spec.team;
+    Urgency urgency = urgency_of(job, context);
+    // Under constant load there is always something more pressing: without this a job that has long waited
+    // for its first task would starve.
+    if (first_task_is_overdue(job, context)) urgency.missed_objectives = kBeforeAllObjectives;
+    const Quota used_with_one_more = shard.used(team) + quota_of(job.spec.each);
+    const bool guaranteed = used_with_one_more.fits_in(guarantee_of(context.settings, shard, team));
+    shard.queue.push_back({&job, urgency.missed_objectives, urgency.start_by, guaranteed});
+  }
+  std::sort(shard.queue.begin(), shard.queue.end(),
+            [](const QueueEntry& a, const QueueEntry& b) { return rank(a) < rank(b); });
+}
+
+}  // namespace bendtide
