--- a/src/core/controller/controller.h
+++ b/src/core/controller/controller.h
@@ -32,7 +32,7 @@
     state_.store.on_answer(call, answer);
   }
   void on_cloud_response(std::uint64_t call, const CloudResponse& answer) {
-    autoscaler_.on_answer(call, answer);
+    autoscaler_.on_response(call, answer);
   }
   void on_command_response(std::uint64_t call, const CommandResponse& answer) {
     fleet_.on_command_response(call, answer);
--- /dev/null
+++ b/src/core/provisioning/cloud_client.cpp
@@ -0,0 +1,40 @@
+#include "core/provisioning/cloud_client.h"
+
+#include <algorithm>
+
+namespace bendtide {
+
+namespace {
+
+/// The part of the published rate that all controllers together use.
+constexpr double kRateUsed = 0.8;
+
+TokenBucket budget_of_one_controller(const Settings& settings) {
+  const auto controllers = static_cast<double>(settings.controllers());
+  const double calls_per_s = kRateUsed * settings.cloud_calls_per_s / controllers;
+  const double burst = std::max(1.0, settings.cloud_calls_per_s / controllers);
+  return {calls_per_s, burst};
+}
+
+}  // namespace
+
+CloudClient::CloudClient(Context& context)
+    : context_(context), budget_(budget_of_one_controller(context.settings)) {}
+
+bool CloudClient::call(CloudRequest request, Callback callback) {
+  if (!budget_.take(context_.now)) return false;
+  const std::uint64_t id = next_call_++;
+  in_flight_.emplace(id, std::move(callback));
+  context_.act(CloudCall{id, std::move(request)});
+  return true;
+}
+
+void CloudClient::on_response(std::uint64_t call, const CloudResponse& response) {
+  const auto found = in_flight_.find(call);
+  if (found == in_flight_.end()) return;
+  const Callback callback = std::move(found->second);
+  in_flight_.erase(found);
+  callback(response);
+}
+
+}  // namespace bendtide
--- /dev/null
+++ b/src/core/provisioning/demand.cpp
@@ -0,0 +1,85 @@
+#include "core/provisioning/demand.h"
+
+#include <algorithm>
+
+namespace bendtide {
+
+namespace {
+
+/// A machine that boots is overdue after 8/5 of the usual time for its type and this margin.
+constexpr Micros kBootMargin = seconds(2);
+
+}  // namespace
+
+void pack(Bin& bin, Demand& demand) {
+  const JobSpec& spec = demand.job->spec;
+  if (demand.tasks <= 0 || bin.free.cpu < spec.each.cpu || !suits(spec, bin.offering)) return;
+  const std::int64_t tasks = std::min(demand.tasks, bin.free.holds(spec.each));
+  bin.free -= spec.each * tasks;
+  demand.tasks -= tasks;
+}
+
+DemandEstimate::NewestUp DemandEstimate::newest_up(const Shard& shard) {
+  NewestUp newest;
+  for (const auto& [name, machine] : shard.machines)
+    if (machine.status_received) newest[machine.type] = std::max(newest[machine.type], machine.rented_at);
+  return newest;
+}
+
+bool DemandEstimate::may_still_come(const Machine& machine, const MachineType& type,
+                                    const NewestUp& newest) const {
+  const Micros age = state_.context.wall - machine.rented_at;
+  if (age <= type.boot * 8 / 5 + kBootMargin) return true;
+  if (!fleet_.booting(machine)) return false;
+  const auto newest_of_type = newest.find(machine.type);
+  return newest_of_type == newest.end() || newest_of_type->second < machine.rented_at;
+}
+
+std::vector<Bin> DemandEstimate::future_bins(const Shard& shard) const {
+  const NewestUp newest = newest_up(shard);
+  std::vector<Bin> bins;
+  for (const auto& [name, machine] : shard.machines) {
+    const MachineType* type = state_.machine_type(machine.type);
+    if (machine.decommissioned || type == nullptr) continue;
+    const Offering offering{machine.type, machine.zone, machine.spot};
+    if (machine.status_received) {
+      if (fleet_.usable(machine)) bins.push_back({offering, machine.released_by(state_.now() + type->boot)});
+    } else if (!shard.cut_zones.contains(machine.zone) && may_still_come(machine, *type, newest)) {
+      bins.push_back({offering, machine.size});
+    }
+  }
+  return bins;
+}
+
+Demand DemandEstimate::demand_of(Job& job, const Quota& free_quota) const {
+  Demand demand{&job, std::min<std::int64_t>(job.overflow, free_quota.holds(quota_of(job.spec.each)))};
+  if (!state_.context.settings.best_effort(job.spec)) return demand;
+  demand.best_effort = true;
+  const Micros waiting_for = state_.context.wall - job.accepted;
+  const bool overdue = !job.begun() && waiting_for > Settings::kLongestWaitForFirstTask;
+  demand.spot_only = !overdue;
+  // Best-effort work has to begin, too: overdue, its first task gets a machine at any price.
+  if (overdue) demand.tasks = std::min<std::int64_t>(demand.tasks, 1);
+  return demand;
+}
+
+std::vector<Demand> DemandEstimate::unmet_demands(Shard& shard, std::vector<Bin>& bins) const {
+  std::vector<Demand> demands;
+  std::map<std::string, Quota> free_quotas;  // by team
+  for (auto& [id, job] : shard.jobs) {
+    // The own ones only once no peer has capacity for them.
+    if (job.overflow == 0 || !(job.refused || !job.owner.empty())) continue;
+    const auto [free_quota, inserted] = free_quotas.try_emplace(job.spec.team);
+    if (inserted) free_quota->second = shard.free_quota_share(job.spec.team);
+    Demand demand = demand_of(job, free_quota->second);
+    free_quota->second -= quota_of(job.spec.each) * demand.tasks;
+    for (Bin& bin : bins) pack(bin, demand);
+    if (demand.tasks > 0) demands.push_back(demand);
+  }
+  std::stable_sort(demands.begin(), demands.end(), [](const Demand& a, const Demand& b) {
+    return a.job->spec.priority > b.job->spec.priority;
+  });
+  return demands;
+}
+
+}  // namespace bendtide
