--- a/src/core/model/settings.h
+++ b/src/core/model/settings.h
@@ -34,7 +34,7 @@
 };
 
 struct Settings {
-  /// How long a worker waits for the answer to a heartbeat before it gives up on it (PROTOCOL).
+  /// How long a worker waits for the response to a heartbeat before it gives up on it (PROTOCOL).
   static constexpr Micros kWorkerPatience = seconds(4);
   /// How long it waits then before it sends one to the next controller (PROTOCOL).
   static constexpr Micros kWorkerRetry = seconds(1);
--- a/src/core/placement/guarantee.h
+++ b/src/core/placement/guarantee.h
@@ -8,7 +8,7 @@
 
 namespace bendtide {
 
-/// The part of a team's guarantee that falls to a shard: the guarantee times the shard's portion of the
+/// The portion of a team's guarantee that falls to a shard: the guarantee times the shard's share of the
 /// team's limit, rounded down. Nothing for a team that is not in the settings.
 Quota guarantee_of(const Settings& settings, const Shard& shard, const std::string& team_name);
 
--- a/src/core/provisioning/cloud_client.cpp
+++ b/src/core/provisioning/cloud_client.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// The part of the published rate that all controllers together use.
+/// The fraction of the published rate that all controllers together use.
 constexpr double kRateUsed = 0.8;
 
 TokenBucket budget_of_one_controller(const Settings& settings) {
--- a/src/core/provisioning/cloud_client.h
+++ b/src/core/provisioning/cloud_client.h
@@ -10,9 +10,9 @@
 
 namespace bendtide {
 
-/// Sends requests within this controller's part of the published rate, and hands each response to the one who
-/// made the request. Nothing is queued: a request for which the rate leaves no budget is made again by its
-/// caller at a later tick.
+/// Sends requests within this controller's share of the published rate, and hands each response to its
+/// caller. Nothing is queued: a request for which the rate leaves no budget is made again by its caller at a
+/// later tick.
 class CloudClient {
  public:
   using Callback = std::function<void(const CloudResponse&)>;
--- a/src/core/provisioning/offering_selector.h
+++ b/src/core/provisioning/offering_selector.h
@@ -26,7 +26,7 @@
  private:
   bool is_available(const Shard& shard, const Demand& demand, const MachineType& type,
                     const Offering& offering) const;
-  /// Price an hour for each CPU in thousandths, weighted by boot time and zone.
+  /// Price for each thousandth of a CPU that will be used, weighted by boot time and zone.
   double weighted_cost(const Demand& demand, const std::vector<Demand>& demands, const MachineType& type,
                        const Offering& offering) const;
 
