--- a/src/core/controller/controller.h
+++ b/src/core/controller/controller.h
@@ -29,7 +29,7 @@
     fleet_.on_heartbeat(request, heartbeat);
   }
   void on_store_response(std::uint64_t call, const StoreResponse& answer) {
-    state_.store.on_answer(call, answer);
+    state_.store.on_response(call, answer);
   }
   void on_cloud_response(std::uint64_t call, const CloudResponse& answer) {
     autoscaler_.on_answer(call, answer);
--- a/src/core/jobs/jobs_ending.cpp
+++ b/src/core/jobs/jobs_ending.cpp
@@ -80,7 +80,7 @@
   state_.store.commit(
       std::move(transaction),
       [this, write, respond](const StoreResponse& a) { on_final_written(write, a, respond); },
-      KeyValueClient::RequestPriority::high);
+      RequestPriority::high);
 }
 
 void Jobs::on_final_written(const FinalWrite& write, const StoreResponse& a, const ReplyCallback& respond) {
@@ -89,9 +89,7 @@
   if (shard == nullptr || !shard->jobs.contains(write.job)) return respond(unavailable(write.job));
   if (a.outcome == Outcome::conflict) {
     hooks_.invalidate_leases();
-    const bool is_final_already =
-        std::find(a.failed.begin(), a.failed.end(), records::final_job_key(write.job)) != a.failed.end();
-    if (is_final_already) return read_final(write, respond);
+    if (a.failed_at(records::final_job_key(write.job))) return read_final(write, respond);
   }
   respond(unavailable(write.job));
   FinalWrite again = write;
--- a/src/core/jobs/jobs_submission.cpp
+++ b/src/core/jobs/jobs_submission.cpp
@@ -123,7 +123,7 @@
           if (Shard* p = state_.ready_shard(state_.self()); p != nullptr && !queued_submissions_.empty())
             write_accepted(*p);
         },
-        KeyValueClient::RequestPriority::high);
+        RequestPriority::high);
   }
 }
 
@@ -165,15 +165,12 @@
   Shard* shard = state_.shard_in_term(batch.shard, batch.leadership_term);
   if (a.outcome == Outcome::unknown && shard != nullptr)
     shard->next_reread = std::min(shard->next_reread, state_.now() + kRereadSoon);
-  auto failed = [&](const std::string& key) {
-    return std::find(a.failed.begin(), a.failed.end(), key) != a.failed.end();
-  };
   const bool held =
-      a.outcome == Outcome::conflict && !a.failed.empty() && !failed(records::lease_key(batch.shard));
+      a.outcome == Outcome::conflict && !a.failed.empty() && !a.failed_at(records::lease_key(batch.shard));
   for (Submission& one : batch.jobs) {
     const std::string& id = one.record.spec.id;
-    if (a.outcome == Outcome::conflict &&
-        (batch.jobs.size() == 1 || failed(records::live_key(id)) || failed(records::final_job_key(id)))) {
+    if (a.outcome == Outcome::conflict && (batch.jobs.size() == 1 || a.failed_at(records::live_key(id)) ||
+                                           a.failed_at(records::final_job_key(id)))) {
       // Known already, or the shard is no longer ours.
       for (ReplyCallback& respond : one.callbacks)
         read_and_tell(
--- a/src/core/leases/shard_leases.cpp
+++ b/src/core/leases/shard_leases.cpp
@@ -139,7 +139,7 @@
   const Micros term = state_.context.settings.lease_term();
   auto retry_soon = [this] { next_renewal_ = state_.now() + millis(300); };
   if (store_lease_ == 0) {
-    state_.store.lease(term, [this, sent, term, retry_soon](const StoreResponse& a) {
+    state_.store.grant_lease(term, [this, sent, term, retry_soon](const StoreResponse& a) {
       store_lease_request_in_flight_ = false;
       if (!a.ok() || a.lease == 0) return retry_soon();
       store_lease_ = a.lease;
@@ -149,7 +149,7 @@
     });
     return;
   }
-  state_.store.renew(store_lease_, [this, sent, term, retry_soon](const StoreResponse& a) {
+  state_.store.renew_lease(store_lease_, [this, sent, term, retry_soon](const StoreResponse& a) {
     store_lease_request_in_flight_ = false;
     if (a.ok()) {
       state_.lease_valid_until = std::max(state_.lease_valid_until, sent + surely_within(term));
--- a/src/core/model/store_messages.h
+++ b/src/core/model/store_messages.h
@@ -1,6 +1,7 @@
 // Requests to the key-value store and its responses.
 #pragma once
 
+#include <algorithm>
 #include <cstdint>
 #include <nlohmann/json.hpp>
 #include <optional>
@@ -69,8 +70,12 @@
   bool more = false;
   Revision revision = 0;
   StoreLeaseId lease = 0;
-  std::vector<std::string> failed;  ///< with a conflict: the keys whose condition did not hold
+  std::vector<std::string> failed;  ///< with a conflict: the keys whose condition did not hold; may be empty
   bool ok() const { return outcome == Outcome::ok; }
+  /// Whether the key is one of those whose condition did not hold.
+  [[nodiscard]] bool failed_at(const std::string& key) const {
+    return std::find(failed.begin(), failed.end(), key) != failed.end();
+  }
 };
 
 }  // namespace bendtide
--- a/src/core/ownership/machine_ownership.cpp
+++ b/src/core/ownership/machine_ownership.cpp
@@ -274,7 +274,7 @@
         p->changed();
         if (!a.ok() && a.outcome != Outcome::refused) invalidate();
       },
-      urgent_only ? KeyValueClient::RequestPriority::normal : KeyValueClient::RequestPriority::low);
+      urgent_only ? RequestPriority::normal : RequestPriority::low);
 }
 
 }  // namespace bendtide
--- a/tests/question_test.cpp
+++ b/tests/question_test.cpp
@@ -38,7 +38,7 @@
   /// The key-value store answers the read sent last.
   void read_answered(const StoreResponse& answer) {
     const std::uint64_t call = reads.back().call;
-    collect([&] { state.store.on_answer(call, answer); });
+    collect([&] { state.store.on_response(call, answer); });
   }
 };
 
--- a/tests/shard_leases_test.cpp
+++ b/tests/shard_leases_test.cpp
@@ -43,7 +43,7 @@
         return std::holds_alternative<GrantLease>(call.request);
       });
       lease.lease = 8;
-      t.collect([&] { t.state.store.on_answer(next->call, lease); });
+      t.collect([&] { t.state.store.on_response(next->call, lease); });
       ASSERT_TRUE(t.state.lease_valid());
     }
     t.answer(taking, written(31));
--- a/tests/sim/hand_answered.h
+++ b/tests/sim/hand_answered.h
@@ -42,7 +42,7 @@
     collect([&] { jobs.tick(); });
   }
   void answer(std::size_t call, const StoreResponse& with) {
-    collect([&] { state.store.on_answer(calls.at(call).call, with); });
+    collect([&] { state.store.on_response(calls.at(call).call, with); });
   }
   const Transaction& commit(std::size_t call) const { return std::get<Transaction>(calls.at(call).request); }
 };
