--- /dev/null
+++ b/src/core/leases/lease_transfer.cpp
@@ -0,0 +1,88 @@
+#include "core/leases/lease_transfer.h"
+
+namespace bendtide {
+
+namespace {
+
+constexpr Micros kHoldOff = seconds(5);
+constexpr Micros kProbeInterval = seconds(2);
+constexpr std::size_t kProbedWorkers = 4;  ///< of each shard
+
+}  // namespace
+
+std::string_view to_text(TransferReason reason) {
+  switch (reason) {
+    case TransferReason::failback:
+      return "its own host asked for it";
+    case TransferReason::store_unresponsive:
+      return "the key-value store does not answer us";
+    case TransferReason::workers_unreachable:
+      return "its workers can't reach us";
+  }
+  return "";
+}
+
+LeaseTransfers::LeaseTransfers(ControllerState& state, Fleet& fleet) : state_(state), fleet_(fleet) {}
+
+void LeaseTransfers::tick() {
+  for (auto& [shard, transferred] : transferred_)
+    if (!transferred.workers.empty() && !transferred.probing && state_.now() >= transferred.next_probe)
+      probe(shard, transferred);
+}
+
+void LeaseTransfers::probe(const std::string& shard, Transferred& transferred) {
+  transferred.probing = true;
+  transferred.next_probe = state_.now() + kProbeInterval;
+  std::rotate(transferred.workers.begin(), transferred.workers.begin() + 1, transferred.workers.end());
+  fleet_.probe(transferred.workers.front(), [this, shard](bool answered) {
+    const auto found = transferred_.find(shard);
+    if (found == transferred_.end()) return;
+    found->second.probing = false;
+    if (answered) found->second.workers.clear();
+  });
+}
+
+LeaseTransfer LeaseTransfers::begin(const Shard& shard, TransferReason reason) {
+  Transferred& transferred = transferred_[shard.name];
+  transferred = {.until = state_.now() + kHoldOff};
+  if (reason == TransferReason::workers_unreachable)
+    for (const auto& [name, machine] : shard.machines)
+      if (!machine.address.empty() && transferred.workers.size() < kProbedWorkers)
+        transferred.workers.push_back(machine.address);
+  const bool asked_for = reason == TransferReason::failback;
+  return {shard.name, shard.fencing_token, asked_for, fleet_.unreachable_machines(shard)};
+}
+
+bool LeaseTransfers::holds_off(const std::string& shard) {
+  const auto found = transferred_.find(shard);
+  if (found == transferred_.end()) return false;
+  const Transferred& transferred = found->second;
+  const ShardRoute& route = state_.routes[shard];
+  const bool led_by_peer = route.revision != 0 && route.host != state_.self();
+  // Workers that we knew may never answer, as they are unreachable or gone. By then the peer has dealt with
+  // them.
+  const Micros last_probe = transferred.until + state_.context.settings.worker_lease * 2;
+  const bool awaits_worker = !transferred.workers.empty() && state_.now() < last_probe;
+  if (state_.now() < transferred.until || (led_by_peer && awaits_worker)) return true;
+  transferred_.erase(found);
+  return false;
+}
+
+void LeaseTransfers::on_received(const LeaseTransfer& transfer) {
+  if (!transfer.asked_for) received_[transfer.shard] = state_.now();
+  handovers_[transfer.shard] = transfer;
+}
+
+bool LeaseTransfers::received_within(const std::string& shard, Micros span) const {
+  const auto found = received_.find(shard);
+  return found != received_.end() && state_.now() - found->second < span;
+}
+
+std::vector<UnreachableMachine> LeaseTransfers::take_handover(const std::string& shard,
+                                                              FencingToken replaced) {
+  const auto handover = handovers_.extract(shard);
+  if (handover.empty() || handover.mapped().fencing_token != replaced) return {};
+  return std::move(handover.mapped().unreachable);
+}
+
+}  // namespace bendtide
--- /dev/null
+++ b/src/core/leases/peer_health.cpp
@@ -0,0 +1,61 @@
+#include "core/leases/peer_health.h"
+
+namespace bendtide {
+
+namespace {
+
+constexpr Micros kMessageInterval = millis(1000);
+
+}  // namespace
+
+PeerHealthMonitor::PeerHealthMonitor(ControllerState& state, const Fleet& fleet,
+                                     const LeaseTransfers& transfers)
+    : state_(state), fleet_(fleet), transfers_(transfers) {}
+
+void PeerHealthMonitor::tick() {
+  if (state_.now() < next_message_) return;
+  next_message_ = state_.now() + kMessageInterval;
+  for (const Peer& peer : state_.context.settings.peers) {
+    const std::uint32_t redirected = std::exchange(state_.redirected_heartbeats[peer.host], 0);
+    state_.context.act(PeerSend{peer.host, PeerHealth{state_.store.responsive(), redirected}});
+  }
+}
+
+void PeerHealthMonitor::on_peer_health(const std::string& host, const PeerHealth& health) {
+  PeerState& peer = state_.peers[host];
+  peer.heard_at = state_.now();
+  peer.store_responsive = health.store_responsive;
+  if (health.your_heartbeats > 0) peer.our_workers_at = state_.now();
+}
+
+bool PeerHealthMonitor::all_workers_silent(const Shard& shard) const {
+  const Micros silence = state_.context.settings.longest_heartbeat_pause();
+  const Micros since = state_.now() - silence;
+  if (shard.acquired_at + silence > since) return false;
+  // A shard whose machines are all unreachable, or never came up, would be transferred without end: its new
+  // leader needs time to find out.
+  if (transfers_.received_within(shard.name, state_.context.settings.worker_lease * 2)) return false;
+  std::size_t up = 0;
+  for (const auto& [name, machine] : shard.machines) {
+    if (machine.decommissioned || (!machine.status_received && fleet_.booting(machine))) continue;
+    // The heartbeats of a machine that takes no commands arrive, too: no peer would do better with it.
+    if (machine.last_heartbeat_at > since) return false;
+    ++up;
+  }
+  return up > 1;
+}
+
+std::optional<TransferTarget> PeerHealthMonitor::healthier_peer(const Shard& shard) const {
+  const bool store_failing = state_.store.failing();
+  if (!store_failing && !all_workers_silent(shard)) return std::nullopt;
+  for (const auto& [host, peer] : state_.peers) {
+    if (!state_.reachable(host) || !peer.store_responsive) continue;
+    if (store_failing) return TransferTarget{host, TransferReason::store_unresponsive};
+    const bool hears_our_workers =
+        peer.our_workers_at >= Micros{0} && state_.now() - peer.our_workers_at < ControllerState::kPeerSilent;
+    if (hears_our_workers) return TransferTarget{host, TransferReason::workers_unreachable};
+  }
+  return std::nullopt;
+}
+
+}  // namespace bendtide
--- /dev/null
+++ b/src/core/leases/shard_acquisition.cpp
@@ -0,0 +1,59 @@
+#include "core/leases/shard_acquisition.h"
+
+#include "core/leases/lease_record_writes.h"
+
+namespace bendtide {
+
+using Outcome = StoreResponse::Outcome;
+
+ShardAcquisition::ShardAcquisition(ControllerState& state, StoreLease& store_lease, Hooks hooks)
+    : state_(state), store_lease_(store_lease), hooks_(std::move(hooks)) {}
+
+void ShardAcquisition::start(const std::string& shard, Revision expected_revision) {
+  const Acquisition acquisition{shard, expected_revision, store_lease_.id()};
+  in_flight_.insert(shard);
+  Transaction transaction;
+  transaction.compares = {{records::lease_key(shard), expected_revision}};
+  transaction.writes = {lease_record_write(state_, shard, acquisition.store_lease)};
+  state_.store.commit(std::move(transaction), [this, acquisition](const StoreResponse& response) {
+    on_written(acquisition, response);
+  });
+}
+
+void ShardAcquisition::on_written(const Acquisition& acquisition, const StoreResponse& response) {
+  if (response.outcome == Outcome::unknown) return read_record(acquisition);
+  if (!finish(acquisition)) return;
+  if (response.ok())
+    return hooks_.acquired(acquisition.shard, fencing_token_of(response.revision),
+                           fencing_token_of(acquisition.expected_revision));
+  if (response.outcome == Outcome::absent) store_lease_.end();
+  hooks_.failed();
+}
+
+void ShardAcquisition::read_record(const Acquisition& acquisition) {
+  // A write that is applied after this read appears in a later list of the lease records, as a record of this
+  // process for a shard that it does not lead, and the shard is then acquired again.
+  state_.store.get(records::lease_key(acquisition.shard), [this, acquisition](const StoreResponse& response) {
+    on_record_read(acquisition, response);
+  });
+}
+
+void ShardAcquisition::on_record_read(const Acquisition& acquisition, const StoreResponse& response) {
+  if (!finish(acquisition) || !response.ok() || response.entries.empty()) return;
+  const KeyValue& entry = response.entries.front();
+  const auto record = records::lease_record(entry.value);
+  if (record && is_written_by_this_process(state_, *record))
+    hooks_.acquired(acquisition.shard, fencing_token_of(entry.revision), FencingToken{});
+}
+
+bool ShardAcquisition::finish(const Acquisition& acquisition) {
+  in_flight_.erase(acquisition.shard);
+  if (store_lease_.is_granted() && acquisition.store_lease == store_lease_.id()) return true;
+  state_.context.info(LogMessage("shard not acquired")
+                          .shard(acquisition.shard)
+                          .why("the store lease of its lease record is no longer ours"));
+  hooks_.failed();
+  return false;
+}
+
+}  // namespace bendtide
--- a/src/core/state/shard.h
+++ b/src/core/state/shard.h
@@ -11,6 +11,7 @@
 #include "core/model/peer_messages.h"
 #include "core/state/job.h"
 #include "core/state/machine.h"
+#include "core/state/token_advance.h"
 
 namespace bendtide {
 
@@ -45,15 +46,11 @@
   enum class Stage : std::uint8_t { loading, ready };
   std::string name;
   FencingToken fencing_token = 0;
-  FencingToken first_fencing_token = 0;  ///< of this holding: a status that shows less is from before it
-  std::uint64_t leadership_term = 0;     ///< of this holding in this process
-  Micros acquired_at{0};
+  FencingToken first_fencing_token = 0;  ///< of this term: a status that shows a lower one is from before it
+  std::uint64_t leadership_term = 0;     ///< numbers the terms of this process, over all shards
+  Micros acquired_at{0};                 ///< steady clock
   Stage stage = Stage::loading;
-  bool advancing_fencing_token = false;
-  Micros next_token_advance{0};
-  bool advance_token_soon = false;  ///< a higher fencing token is needed to settle a pinned start
-  bool advance_token_eventually =
-      false;  ///< and some day, for workers to forget ended attempts that were started directly
+  TokenAdvance token_advance;
 
   std::map<std::string, Quota> quota_shares;
   std::map<std::string, Quota> quota_in_transfer;  ///< share in a write under way: neither ours nor given yet
@@ -85,7 +82,7 @@
   std::vector<std::string> over;            ///< jobs that are ended, until nothing of them is left
   std::map<std::uint32_t, DoneSlot> done_slots;
   std::map<std::uint32_t, OwnershipBlock> ownership_blocks;
-  std::vector<UnreachableMachine> handover;  ///< by the last leader, for the loading
+  std::vector<UnreachableMachine> handover;  ///< from the last leader, until the shard is loaded
 
   bool ready() const { return stage == Stage::ready; }
   void changed() { next_pass = Micros{0}; }
--- a/src/core/workers/fleet_commands.cpp
+++ b/src/core/workers/fleet_commands.cpp
@@ -165,7 +165,7 @@
       // It may be executed at any later time under this fencing token: raise it, and wait for the worker to
       // show that.
       p->second.late_start_token = std::max(p->second.late_start_token, direct.fencing_token);
-      shard->advance_token_soon = true;
+      shard->token_advance.request_soon();
     }
   }
   if (answer.outcome == CommandResponse::Outcome::unknown) {
--- a/src/core/workers/fleet_heartbeats.cpp
+++ b/src/core/workers/fleet_heartbeats.cpp
@@ -26,7 +26,7 @@
     // Somebody was given a higher fencing token: either we are superseded, or the machine came from
     // elsewhere.
     hooks_.invalidate_leases();
-    shard.advance_token_soon = true;
+    shard.token_advance.request_soon();
     return answer(request, 503);
   }
   auto it = shard.machines.find(heartbeat.machine);
@@ -208,7 +208,10 @@
     // as the worker holds the attempt, ended, the repeat has no effect: keep it until the fencing token is
     // higher. That is urgent if the task is to run again.
     p.late_start_token = std::max(p.late_start_token, p.pushed_fencing_token);
-    (cause == ExitCause::done ? shard.advance_token_eventually : shard.advance_token_soon) = true;
+    if (cause == ExitCause::done)
+      shard.token_advance.request_eventually();
+    else
+      shard.token_advance.request_soon();
   }
   auto it = shard.jobs.find(id.task.job);
   if (it == shard.jobs.end() || id.task.index >= it->second.tasks.size()) return;
--- a/tests/sim/simulated_cluster.cpp
+++ b/tests/sim/simulated_cluster.cpp
@@ -294,7 +294,7 @@
     void operator()(AnswerAdmin&) {}
     void operator()(LogLine& a) {
       if (a.level == LogLevel::error) ++d.seen_["errors in the log"];
-      if (a.text.starts_with("took part")) ++d.seen_["parts taken"];
+      if (a.text.ends_with(" shard acquired")) ++d.seen_["parts taken"];
       if (a.text.ends_with("is silent for its whole lease")) ++d.seen_["leases over"];
       if (a.text.find("takes up nothing") != std::string::npos) ++d.seen_["machines called deaf"];
       if (d.plan_.verbose)
