--- a/src/core/controller/overview.cpp
+++ b/src/core/controller/overview.cpp
@@ -4,19 +4,20 @@
 
 namespace {
 
-constexpr std::size_t kMostRows = 1000;
+constexpr std::size_t kRowLimit = 1000;  ///< of one response
 
-double units(std::int64_t thousandths) { return static_cast<double>(thousandths) / 1000.0; }
+double in_units(std::int64_t thousandths) { return static_cast<double>(thousandths) / 1000.0; }
 
 }  // namespace
 
 Value shards(const ControllerState& state) {
-  Value held = Value::array(), routes = Value::object();
+  Value held = Value::array();
+  Value routes = Value::object();
   for (const auto& [name, shard] : state.shards) {
     Value quota_shares = Value::object();
     for (const auto& [team, share] : shard.quota_shares)
-      quota_shares[team] = {{"share_cpus", units(share.cpu)},
-                            {"used_or_possibly_used_cpus", units(shard.used(team).cpu)}};
+      quota_shares[team] = {{"share_cpus", in_units(share.cpu)},
+                            {"used_or_possibly_used_cpus", in_units(shard.used(team).cpu)}};
     held.push_back({{"part", name},
                     {"token", shard.fencing_token.value()},
                     {"ready", shard.ready()},
@@ -35,58 +36,59 @@
 }
 
 Value machines(const ControllerState& state) {
-  Value out = Value::array();
+  Value rows = Value::array();
   for (const auto& [name, shard] : state.shards)
-    for (const auto& [id, m] : shard.machines) {
-      if (out.size() >= kMostRows) return out;
-      out.push_back({{"machine", id},
-                     {"part", name},
-                     {"type", m.type},
-                     {"zone", m.zone},
-                     {"spot", m.spot},
-                     {"up", m.status_received},
-                     {"silent_s", m.status_received ? in_seconds(state.now() - m.last_status_at) : 0.0},
-                     {"settled", m.reconciled},
-                     {"lease_over", m.lease_expired},
-                     {"quarantined", m.quarantined},
-                     {"being_deleted", m.decommissioned},
-                     {"tasks", m.tasks.size()},
-                     {"free_cpus", units(m.free().cpu)}});
+    for (const auto& [id, machine] : shard.machines) {
+      if (rows.size() >= kRowLimit) return rows;
+      rows.push_back(
+          {{"machine", id},
+           {"part", name},
+           {"type", machine.type},
+           {"zone", machine.zone},
+           {"spot", machine.spot},
+           {"up", machine.status_received},
+           {"silent_s", machine.status_received ? in_seconds(state.now() - machine.last_status_at) : 0.0},
+           {"settled", machine.reconciled},
+           {"lease_over", machine.lease_expired},
+           {"quarantined", machine.quarantined},
+           {"being_deleted", machine.decommissioned},
+           {"tasks", machine.tasks.size()},
+           {"free_cpus", in_units(machine.free().cpu)}});
     }
-  return out;
+  return rows;
 }
 
 Value jobs(const ControllerState& state) {
-  Value out = Value::array();
+  Value rows = Value::array();
   for (const auto& [name, shard] : state.shards)
     for (const auto& [id, job] : shard.jobs) {
-      if (out.size() >= kMostRows) return out;
-      out.push_back({{"job", id},
-                     {"part", name},
-                     {"owner", job.owner.empty() ? name : job.owner},
-                     {"team", job.spec.team},
-                     {"tasks", job.tasks.size()},
-                     {"waiting", job.waiting.size()},
-                     {"placed", job.present},
-                     {"done", job.done},
-                     {"awards", job.awards.size()},
-                     {"no_room_for", job.overflow},
-                     {"share_used_up", job.quota_share_exhausted},
-                     {"no_machine_to_rent", job.unrentable},
-                     {"suspect", job.suspect()}});
+      if (rows.size() >= kRowLimit) return rows;
+      rows.push_back({{"job", id},
+                      {"part", name},
+                      {"owner", job.owner.empty() ? name : job.owner},
+                      {"team", job.spec.team},
+                      {"tasks", job.tasks.size()},
+                      {"waiting", job.waiting.size()},
+                      {"placed", job.present},
+                      {"done", job.done},
+                      {"awards", job.awards.size()},
+                      {"no_room_for", job.overflow},
+                      {"share_used_up", job.quota_share_exhausted},
+                      {"no_machine_to_rent", job.unrentable},
+                      {"suspect", job.suspect()}});
     }
-  return out;
+  return rows;
 }
 
 Value negotiations(const ContractNet& net) {
-  const ContractNet::Counters& c = net.counters();
+  const ContractNet::Counters& counters = net.counters();
   return {{"open", net.open()},
-          {"calls", c.calls},
-          {"rounds", c.rounds},
-          {"awards", c.awards},
-          {"conflicts", c.conflicts},
-          {"without_feasible_proposal", c.infeasible},
-          {"shares_moved", c.quota_transfers}};
+          {"calls", counters.calls},
+          {"rounds", counters.rounds},
+          {"awards", counters.awards},
+          {"conflicts", counters.conflicts},
+          {"without_feasible_proposal", counters.infeasible},
+          {"shares_moved", counters.quota_transfers}};
 }
 
 }  // namespace bendtide::overview
--- /dev/null
+++ b/src/core/controller/policy_store.cpp
@@ -0,0 +1,66 @@
+#include "core/controller/policy_store.h"
+
+namespace bendtide {
+
+using Outcome = StoreResponse::Outcome;
+
+namespace {
+
+constexpr Micros kReadInterval = seconds(5);
+
+}  // namespace
+
+void PolicyStore::tick() {
+  if (state_.now() >= next_read_) read();
+}
+
+void PolicyStore::read() {
+  next_read_ = state_.now() + kReadInterval;
+  state_.store.get(records::kPolicyKey, [this](const StoreResponse& response) {
+    if (!response.ok() || response.entries.empty()) return;
+    Policy policy;
+    const auto problem = Policy::apply(policy, response.entries.front().value);
+    if (!problem) state_.context.policy = policy;
+  });
+}
+
+void PolicyStore::change(std::uint64_t request, const Value& fields) {
+  state_.store.get(records::kPolicyKey,
+                   [this, change = Change{request, fields}](const StoreResponse& response) {
+                     on_read_for(change, response);
+                   });
+}
+
+void PolicyStore::on_read_for(const Change& change, const StoreResponse& response) {
+  if (!response.ok() && response.outcome != Outcome::absent) return answer_unavailable(change);
+  Policy policy;
+  const Revision revision = response.entries.empty() ? Revision{} : response.entries.front().revision;
+  if (revision != 0) Policy::apply(policy, response.entries.front().value);
+  if (const auto problem = Policy::apply(policy, change.fields))
+    return state_.context.act(AnswerAdmin{change.request, 400, {{"error", *problem}}});
+  write(change, policy, revision);
+}
+
+void PolicyStore::write(const Change& change, const Policy& policy, Revision expected_revision) {
+  Transaction transaction;
+  // Nobody else may have changed it since it was read.
+  transaction.compares = {{records::kPolicyKey, expected_revision}};
+  transaction.writes = {{records::kPolicyKey, Policy::to_json(policy), 0}};
+  state_.store.commit(std::move(transaction), [this, change, policy](const StoreResponse& response) {
+    on_written(change, policy, response);
+  });
+}
+
+void PolicyStore::on_written(const Change& change, const Policy& policy, const StoreResponse& response) {
+  if (!response.ok()) return answer_unavailable(change);
+  state_.context.policy = policy;
+  state_.context.info(LogMessage("policy changed").detail("policy", Policy::to_json(policy).dump()));
+  state_.context.act(AnswerAdmin{change.request, 200, Policy::to_json(policy)});
+}
+
+void PolicyStore::answer_unavailable(const Change& change) {
+  state_.context.act(
+      AnswerAdmin{change.request, 503, {{"error", "the state service did not confirm; read again"}}});
+}
+
+}  // namespace bendtide
--- a/src/core/runtime/context.h
+++ b/src/core/runtime/context.h
@@ -1,5 +1,4 @@
-// What every piece of the core shares: the settings, the present moment as told by the shell, and the
-// actions collected for it.
+// What all modules of the core share.
 #pragma once
 
 #include <functional>
@@ -18,24 +17,35 @@
 
 namespace bendtide {
 
+/// The settings, the present time as set by the shell, the actions collected for it, and the timers of one
+/// controller.
 struct Context {
   Settings settings;
-  Policy policy;            ///< operators' own settings
-  std::string incarnation;  ///< names this process among all that ever ran under this host name
-  std::mt19937_64 random;   ///< seeded by the shell
-  Micros now{0};            ///< steady clock
-  Micros wall{0};           ///< time of day, within the platform's bound
-  std::vector<Action> actions;
-  std::multimap<Micros, std::function<void()>> timers;
-  bool debugging = false;  ///< whether debug lines are written
+  Policy policy;                ///< what operators may change while controllers run
+  std::string incarnation;      ///< names this process among all that ever ran under this host name
+  std::mt19937_64 random;       ///< seeded by the shell
+  Micros now{0};                ///< steady clock
+  Micros wall{0};               ///< wall clock, which may differ between hosts within the platform's bound
+  std::vector<Action> actions;  ///< in the order in which they are to be done
+  std::multimap<Micros, std::function<void()>> timers;  ///< by the time on the steady clock
+  bool debugging = false;                               ///< whether debug lines are written
   InvariantCounts invariants{};
 
-  void later(Micros delay, std::function<void()> what) { timers.emplace(now + delay, std::move(what)); }
-  void act(Action a) { actions.push_back(std::move(a)); }
+  /// Calls `callback` once `delay` is over, in the next tick.
+  void later(Micros delay, std::function<void()> callback) {
+    timers.emplace(now + delay, std::move(callback));
+  }
+  void run_due_timers() {
+    while (!timers.empty() && timers.begin()->first <= now) {
+      const auto timer = timers.extract(timers.begin());
+      timer.mapped()();
+    }
+  }
+  void act(Action action) { actions.push_back(std::move(action)); }
   void log(LogLevel level, std::string text) { act(LogLine{level, std::move(text)}); }
   void info(const LogMessage& message) { log(LogLevel::info, message.text()); }
   void info(std::string text) { log(LogLevel::info, std::move(text)); }
-  /// `make_text` is called only if the line is written: most are about every single call or task.
+  /// `make_text` is called only if the line is written, as there is one for every single request or task.
   template <class MakeText>
   void debug(MakeText&& make_text) {
     if (!debugging) return;
@@ -44,11 +54,11 @@
     else
       log(LogLevel::debug, make_text().text());
   }
-  /// `story`: what is known of the job or part it is about.
-  void violated(Invariant invariant, const std::string& story) {
+  /// Counts and logs a violation. `description`: what is known of the job or shard.
+  void violated(Invariant invariant, const std::string& description) {
     const auto index = static_cast<std::size_t>(invariant);
     ++invariants.violations[index];
-    log(LogLevel::error, std::string("invariant ") + kInvariantNames[index] + " violated: " + story);
+    log(LogLevel::error, std::string("invariant ") + kInvariantNames[index] + " violated: " + description);
   }
 };
 
--- a/src/core/runtime/invariants.h
+++ b/src/core/runtime/invariants.h
@@ -1,31 +1,32 @@
-// What must hold at run time whatever the other side sends. A violation is an error in the log and a counter;
-// the caller then does nothing that could be unsafe. It never ends the process.
+// Invariants that are checked at run time.
 #pragma once
 
 #include <array>
 #include <cstdint>
+#include <numeric>
 
 namespace bendtide {
 
+/// What must hold whatever the other side sends. A violation is an error in the log and a counter; the caller
+/// then does nothing that could be unsafe. It never ends the process.
 enum class Invariant : std::uint8_t {
   final_state_stays,       ///< a job has one final state
-  finished_job_stays_off,  ///< nothing of a job that is over is started
-  answers_agree,           ///< no user is told two final states of a job, or that it is unknown after its end
-  tokens_grow,             ///< a shard's fencing token never goes back
+  finished_job_stays_off,  ///< no task of a job that has ended is started
+  answers_agree,           ///< no user is answered two final states of a job, or that an ended job is unknown
+  tokens_grow,             ///< a shard's fencing token never decreases
   count
 };
 
 constexpr std::size_t kInvariants = static_cast<std::size_t>(Invariant::count);
-/// As they are called in the log and in the metrics.
+/// Their names in the log and in the metrics.
 constexpr std::array<const char*, kInvariants> kInvariantNames{"final_state_stays", "finished_job_stays_off",
                                                                "answers_agree", "tokens_grow"};
 
+/// How often each invariant was violated.
 struct InvariantCounts {
-  std::array<std::uint64_t, kInvariants> violations{};
+  std::array<std::uint64_t, kInvariants> violations{};  ///< by Invariant
   std::uint64_t total() const {
-    std::uint64_t sum = 0;
-    for (const std::uint64_t n : violations) sum += n;
-    return sum;
+    return std::accumulate(violations.begin(), violations.end(), std::uint64_t{0});
   }
 };
 
--- a/src/core/runtime/log_message.h
+++ b/src/core/runtime/log_message.h
@@ -1,4 +1,4 @@
-// The one form of all log lines.
+// The form of all log lines.
 #pragma once
 
 #include <cstdint>
--- a/src/core/runtime/token_bucket.h
+++ b/src/core/runtime/token_bucket.h
@@ -7,19 +7,19 @@
 
 namespace bendtide {
 
-/// Passes `rate` a second, with bursts of up to `burst`.
+/// Grants `rate` tokens a second, and up to `burst` at once. It starts full. Times are on the steady clock.
 class TokenBucket {
  public:
   TokenBucket(double rate, double burst) : rate_(rate), burst_(burst), level_(burst) {}
-  bool take(Micros now, double n = 1) {
-    refill(now);
-    if (level_ < n) return false;
-    level_ -= n;
+  /// Takes that many tokens; takes none, and returns false, if there are fewer.
+  bool take(Micros now, double tokens = 1) {
+    if (!has(now, tokens)) return false;
+    level_ -= tokens;
     return true;
   }
-  bool has(Micros now, double n = 1) {
+  bool has(Micros now, double tokens = 1) {
     refill(now);
-    return level_ >= n;
+    return level_ >= tokens;
   }
 
  private:
@@ -27,7 +27,10 @@
     if (now > last_) level_ = std::min(burst_, level_ + rate_ * in_seconds(now - last_));
     last_ = std::max(last_, now);
   }
-  double rate_, burst_, level_;
+
+  double rate_;
+  double burst_;
+  double level_;
   Micros last_{0};
 };
 
--- a/src/core/state/final_states.cpp
+++ b/src/core/state/final_states.cpp
@@ -8,7 +8,7 @@
   order_.push_back({job, now});
   while (order_.size() > kRemembered) {
     const End& oldest = order_.front();
-    forgotten_until_ = std::max(forgotten_until_, oldest.learned_at);
+    forgotten_until_ = std::max(forgotten_until_, oldest.recorded_at);
     jobs_.erase(oldest.job);
     order_.pop_front();
   }
