--- a/tests/late_answer_test.cpp
+++ b/tests/late_answer_test.cpp
@@ -32,12 +32,12 @@
   EXPECT_FALSE(t.shard.jobs.contains(kTask.job));
   ASSERT_EQ(t.replies.size(), 2u);
   EXPECT_EQ(t.replies[1].status, 200);
-  EXPECT_EQ(t.replies[1].phase, JobPhase::cancelled) << "nobody is told anything older";
+  EXPECT_EQ(t.replies[1].phase, JobPhase::cancelled) << "no user is answered with an older state";
 }
 
-// The same of a job that only a peer has called over: the last write of its owner removed the award, but a
-// list that was asked for before still shows it.
-TEST(LateAnswer, WithAnAwardDoesNotBringBackAJobThatItsOwnerCallsOver) {
+// The same of a job that ended by the notice of a peer only: the final write of its owner removed the award,
+// but a list that was requested before still shows it.
+TEST(LateAnswer, WithAnAwardDoesNotBringBackAJobThatItsOwnerHasEnded) {
   HandAnswered t;
   Scheduler scheduler(t.state, t.fleet);
   ContractNet net(t.state, scheduler, {[] {}});
@@ -52,7 +52,7 @@
 }
 
 // Found by the soak: the winner of an award read, for a repeated submission, that the job is cancelled,
-// before its owner's word came; the task placed here would have been started but for the last look at starts.
+// before its owner's notice arrived; only the last check of starts kept the task placed here from starting.
 TEST(FinalState, ThatIsReadEndsWhatWasAwardedHere) {
   HandAnswered t;
   Job& job = t.add_job();
@@ -69,8 +69,8 @@
   EXPECT_TRUE(job.ended);
 }
 
-// A record that was asked for before the shard was taken: an earlier leader may have ended the job since.
-TEST(LateAnswer, FromBeforeThePartWasTakenIsNotActedOn) {
+// A record that was requested before the shard was acquired: an earlier leader may have ended the job since.
+TEST(LateAnswer, FromBeforeTheShardWasAcquiredIsNotActedOn) {
   HandAnswered t;
   t.cancel();
   ASSERT_EQ(t.calls.size(), 1u);
@@ -81,7 +81,7 @@
   EXPECT_EQ(t.replies[0].status, 503);
 }
 
-// So many jobs have ended since the question that the end of this one may have been forgotten.
+// So many jobs have ended since the request that the end of this one may have been forgotten.
 TEST(LateAnswer, FromBeforeTheOldestRememberedEndIsNotActedOn) {
   HandAnswered t;
   const Micros asked = t.context.now;
@@ -108,13 +108,13 @@
   refused.outcome = Outcome::conflict;
   refused.failed = {records::final_job_key(kTask.job)};
   t.answer(0, refused);
-  ASSERT_EQ(t.calls.size(), 2u) << "what the state service holds";
+  ASSERT_EQ(t.calls.size(), 2u) << "the read of the stored final state";
   EXPECT_TRUE(job.finalizing);
   t.answer(1, found(records::final_job_key(kTask.job), records::to_json(records::FinalJob{JobPhase::done, 1}),
                     15));
   ASSERT_EQ(t.replies.size(), 1u);
   EXPECT_EQ(t.replies[0].phase, JobPhase::done);
-  EXPECT_EQ(t.context.invariants.total(), 1u) << "this holder believed in another end";
+  EXPECT_EQ(t.context.invariants.total(), 1u) << "this leader was to write another final state";
 }
 
 // The same without a violation: the first try got no answer, and was carried out.
@@ -138,22 +138,23 @@
   EXPECT_EQ(t.replies.back().phase, JobPhase::cancelled);
 }
 
-// Its user may have been told by a peer that read the record, before the answer to the write is here.
+// A peer that read the record may have answered its user before the response to the write is here.
 TEST(Start, IsNotSentOnceItsJobMayBeOver) {
-  for (const char* what : {"under way", "over", "known to be over", "awarded and in doubt"}) {
+  for (const char* what :
+       {"final write in flight", "ended", "known to have ended", "awarded, and the award is stale"}) {
     HandAnswered t;
     Job& job = t.add_job();
     t.at<LogLine>(100.5, [&] { t.fleet.on_heartbeat(1, t.report(10, 1, 4, false)); });
     t.shard.place(t.machine(), {kTask, 7}, &job);
     job.leave_waiting(0, {Task::State::placed, &t.machine(), 7});
-    const std::string now = what;
-    if (now == "under way") job.finalizing = true;
-    if (now == "over") t.shard.end(job);
-    if (now == "awarded and in doubt") {
+    const std::string state = what;
+    if (state == "final write in flight") job.finalizing = true;
+    if (state == "ended") t.shard.end(job);
+    if (state == "awarded, and the award is stale") {
       job.owner = "b";
       t.shard.awards_read(seconds(91), seconds(10));
     }
-    if (now == "known to be over") t.state.final_states.record_final(kTask.job, {}, t.context.now);
+    if (state == "known to have ended") t.state.final_states.record_final(kTask.job, {}, t.context.now);
     const auto answers =
         t.at<AnswerHeartbeat>(102, [&] { t.fleet.on_heartbeat(2, t.report(10, 1, 5, false)); });
     ASSERT_EQ(answers.size(), 1u);
@@ -164,11 +165,11 @@
     const auto calls = t.at<WorkerCall>(102.1, [&] { t.fleet.push_commands(t.shard); });
     ASSERT_EQ(calls.size(), 1u);
     EXPECT_TRUE(calls[0].request.commands.empty()) << what;
-    EXPECT_EQ(t.context.invariants.total(), now == "known to be over" ? 1u : 0u);
+    EXPECT_EQ(t.context.invariants.total(), state == "known to have ended" ? 1u : 0u);
   }
 }
 
-/// A number from the environment, for longer runs than those of every day.
+/// A number from the environment, for longer runs than the usual ones.
 std::uint64_t from_environment(const char* name, std::uint64_t otherwise) {
   const char* text = std::getenv(name);
   return text == nullptr ? otherwise : std::strtoull(text, nullptr, 10);
