--- a/src/core/controller/controller.h
+++ b/src/core/controller/controller.h
@@ -19,10 +19,13 @@
 
   /// Sets both clocks; called before every event.
   void at(Micros steady, Micros wall);
-  /// Does what is due by now; to be called every few milliseconds.
+  /// Does what is due by now; to be called at least once in each scheduling interval, which is 100 ms.
   void tick();
 
+  // Requests of users, workers and operators: each is answered by one action with the same `request` number.
+
   void on_submit(std::uint64_t request, const JobSpec& spec) { jobs_.on_submit(request, spec); }
+  /// A submission of the job `id` that is not valid, for the reason `why`.
   void on_malformed(std::uint64_t request, const std::string& id, const std::string& why) {
     jobs_.on_malformed(request, id, why);
   }
@@ -31,6 +34,10 @@
   void on_heartbeat(std::uint64_t request, const Heartbeat& heartbeat) {
     fleet_.on_heartbeat(request, heartbeat);
   }
+  void on_admin(std::uint64_t request, const AdminRequest& asked);
+
+  // Responses to the actions of the core, which carry the same `call` number.
+
   void on_store_response(std::uint64_t call, const StoreResponse& response) {
     state_.store.on_response(call, response);
   }
@@ -40,13 +47,14 @@
   void on_command_response(std::uint64_t call, const CommandResponse& response) {
     fleet_.on_command_response(call, response);
   }
-  void on_admin(std::uint64_t request, const AdminRequest& asked);
+
+  /// A message of another controller, or of this one to itself.
   void on_peer(const std::string& host, const PeerMessage& message);
 
   /// Whether debug lines are written; their text is not made otherwise.
   void write_debug_lines(bool wanted) { context_.debugging = wanted; }
   const InvariantCounts& invariants() const { return context_.invariants; }
-  /// Whether users should be sent here.
+  /// Whether requests of users should be routed here: our own shard is loaded, and the catalogue is known.
   bool healthy();
   /// The actions since the last call. `steady`: the steady clock once more. If the process was paused since
   /// the event began, its answers to users about unfinished jobs, and starts of tasks, may be outdated, and
--- a/src/core/kvstore/key_value_client.cpp
+++ b/src/core/kvstore/key_value_client.cpp
@@ -125,7 +125,7 @@
   context_.debug([&] {
     return LogMessage("store response")
         .detail("call", call)
-        .detail("after_ms", static_cast<std::uint64_t>((context_.now - in_flight.sent_at).count() / 1000))
+        .milliseconds("after_ms", context_.now - in_flight.sent_at)
         .detail("response", describe(response))
         .detail("request", in_flight.description);
   });
--- a/src/core/runtime/invariants.h
+++ b/src/core/runtime/invariants.h
@@ -12,7 +12,7 @@
 enum class Invariant : std::uint8_t {
   final_state_stays,       ///< a job has one final state
   finished_job_stays_off,  ///< no task of a job that has ended is started
-  answers_agree,           ///< no user is answered two final states of a job, or that an ended job is unknown
+  answers_agree,           ///< no user is sent two final states of a job, or that an ended job is unknown
   tokens_grow,             ///< a shard's fencing token never decreases
   count
 };
--- a/src/core/runtime/log_message.h
+++ b/src/core/runtime/log_message.h
@@ -7,6 +7,7 @@
 
 #include "core/model/ids.h"
 #include "core/model/job.h"
+#include "core/model/time.h"
 
 namespace bendtide {
 
@@ -14,8 +15,8 @@
 ///
 ///   shard=helm-0 token=1462 job=run-000412 start task=0 attempt=95813633 machine=n-000231: why
 ///
-/// The keys that say whom it is about come first, then the event, then its details in the order in which they
-/// were added, and last the reason. Keys are the same in all lines.
+/// The shard, token and job come first, then the event, then its details in the order in which they were
+/// added, and last the reason. Keys are the same in all lines.
 class LogMessage {
  public:
   /// `event`: a few words that are the same each time, such as "start" or "job done".
@@ -33,6 +34,10 @@
   /// Any other detail.
   LogMessage& detail(std::string_view key, std::string_view value) { return append(details_, key, value); }
   LogMessage& detail(std::string_view key, std::uint64_t value) { return detail(key, std::to_string(value)); }
+  /// A span in whole milliseconds; the key should end in "_ms".
+  LogMessage& milliseconds(std::string_view key, Micros span) {
+    return detail(key, std::to_string(span.count() / 1000));
+  }
 
   /// Why it happened, in words.
   LogMessage& why(std::string_view reason) {
--- a/src/core/state/controller_state.h
+++ b/src/core/state/controller_state.h
@@ -113,13 +113,13 @@
       return LogMessage("response not acted on")
           .shard(shard.name)
           .job(job)
-          .detail("after_ms", static_cast<std::uint64_t>((now() - asked).count() / 1000))
+          .milliseconds("after_ms", now() - asked)
           .why(value == Validity::outlived ? "the job has ended" : "the job may have ended meanwhile");
     });
     return false;
   }
 
-  /// Records that a job has ended, as was written, read or, without its final state, notified by a peer.
+  /// Records that a job has ended, as was written, read, or notified by a peer, which omits the final state.
   /// Nothing of it goes on in any shard led here, its own or one that it was awarded to. False if it is known
   /// to have ended otherwise.
   bool record_job_end(const std::string& job, const std::optional<FinalState>& state) {
--- a/tests/shard_leases_test.cpp
+++ b/tests/shard_leases_test.cpp
@@ -52,5 +52,38 @@
   }
 }
 
+TEST(TokenAdvance, IsDueOnceRequestedAndOneWriteAtATime) {
+  TokenAdvance advance;
+  EXPECT_FALSE(advance.due(seconds(100)));
+  advance.request_soon();
+  EXPECT_TRUE(advance.due(seconds(100)));
+  advance.begin(seconds(100));
+  advance.request_soon();
+  EXPECT_FALSE(advance.due(seconds(110))) << "a write is in flight";
+  advance.succeed();
+  EXPECT_FALSE(advance.due(seconds(100.999)));
+  EXPECT_TRUE(advance.due(seconds(101))) << "it was requested again during the write";
+}
+
+TEST(TokenAdvance, WithoutHurryWaitsEightSecondsLonger) {
+  TokenAdvance advance;
+  advance.begin(seconds(100));
+  advance.succeed();
+  advance.request_eventually();
+  EXPECT_FALSE(advance.due(seconds(108.999)));
+  EXPECT_TRUE(advance.due(seconds(109)));
+}
+
+TEST(TokenAdvance, IsRepeatedAfterAFailureAndWithoutHurryAfterAConflict) {
+  for (const bool conflict : {false, true}) {
+    TokenAdvance advance;
+    advance.request_soon();
+    advance.begin(seconds(100));
+    advance.fail(conflict);
+    EXPECT_EQ(advance.due(seconds(101)), !conflict);
+    EXPECT_TRUE(advance.due(seconds(109)));
+  }
+}
+
 }  // namespace
 }  // namespace bendtide::sim
