--- a/src/core/jobs/jobs_ending.cpp
+++ b/src/core/jobs/jobs_ending.cpp
@@ -146,7 +146,7 @@
 /// Makes the wish of ended jobs felt: nothing of them is wanted, and they go once nothing is left.
 void Jobs::settle(Shard& shard) {
   std::vector<std::string> over;
-  std::swap(over, shard.over);
+  std::swap(over, shard.ended_jobs);
   for (std::string& id : over) {
     auto it = shard.jobs.find(id);
     if (it == shard.jobs.end()) continue;
@@ -165,7 +165,7 @@
       shard.request_push(*task.machine);
     }
     if (job.present > 0 || job.finalizing || job.tasks_in_award > 0) {
-      shard.over.push_back(std::move(id));
+      shard.ended_jobs.push_back(std::move(id));
       continue;
     }
     std::erase_if(shard.queue, [&](const QueueEntry& r) { return r.job == &job; });
--- a/src/core/jobs/jobs_recording.cpp
+++ b/src/core/jobs/jobs_recording.cpp
@@ -80,7 +80,7 @@
 }
 
 void Jobs::record(Shard& shard) {
-  if (shard.recording || state_.now() < shard.next_recording) return;
+  if (!shard.finished_tasks_write.due(state_.now())) return;
   mark_slots_to_write(shard);
   Transaction transaction;
   transaction.compares = {state_.fenced_by(shard)};
@@ -105,7 +105,7 @@
     slots.push_back(number);
   }
   if (transaction.writes.empty()) return;
-  shard.recording = true;
+  shard.finished_tasks_write.begin();
   state_.store.commit(std::move(transaction),
                       [this, name = shard.name, leadership_term = shard.leadership_term,
                        batch = std::move(batch), slots](const StoreResponse& a) {
@@ -116,13 +116,13 @@
 
 void Jobs::on_recorded(Shard& shard, const std::vector<Recorded>& batch,
                        const std::vector<std::uint32_t>& slots, const StoreResponse& a) {
-  shard.recording = false;
-  shard.next_recording = state_.now() + kRecordEvery;
+  shard.finished_tasks_write.end();
+  shard.finished_tasks_write.schedule(state_.now() + kRecordEvery);
   if (a.outcome == Outcome::conflict) hooks_.invalidate_leases();
   for (std::uint32_t number : slots) {
     DoneSlot& slot = shard.done_slots[number];
     if (a.ok())
-      slot.revision = a.revision, slot.dirty = false;
+      slot.written(a.revision);
     else if (a.outcome != Outcome::refused)
       slot.outcome_unknown = true;
   }
@@ -144,17 +144,16 @@
 }
 
 void Jobs::read_slot(Shard& shard, std::uint32_t number) {
-  shard.recording = true;
+  shard.finished_tasks_write.begin();
   state_.store.get(
       records::done_key(shard.name, number),
       [this, name = shard.name, leadership_term = shard.leadership_term, number](const StoreResponse& a) {
         Shard* p = state_.shard_in_term(name, leadership_term);
         if (p == nullptr) return;
-        p->recording = false;
+        p->finished_tasks_write.end();
         if (!a.ok() && a.outcome != Outcome::absent) return;
         DoneSlot& slot = p->done_slots[number];
-        slot.outcome_unknown = false;
-        slot.revision = a.entries.empty() ? 0 : a.entries.front().revision;
+        slot.read(a.entries.empty() ? Revision{} : a.entries.front().revision);
       });
 }
 
--- a/src/core/jobs/jobs_submission.cpp
+++ b/src/core/jobs/jobs_submission.cpp
@@ -148,7 +148,7 @@
                       to_string(a.revision));
   Shard* shard = state_.shard_in_term(batch.shard, batch.leadership_term);
   if (shard != nullptr && load_if_current(*shard, one.record, batch.asked) == nullptr)
-    shard->next_reread = std::min(shard->next_reread, state_.now() + kRereadSoon);
+    shard->unfinished_jobs_read.bring_forward(state_.now() + kRereadSoon);
   const std::optional<JobStatus> known = from_memory(id);
   for (ReplyCallback& respond : one.callbacks) {
     if (known)
@@ -164,7 +164,7 @@
   // the reading of the shard's unfinished jobs finds them.
   Shard* shard = state_.shard_in_term(batch.shard, batch.leadership_term);
   if (a.outcome == Outcome::unknown && shard != nullptr)
-    shard->next_reread = std::min(shard->next_reread, state_.now() + kRereadSoon);
+    shard->unfinished_jobs_read.bring_forward(state_.now() + kRereadSoon);
   auto failed = [&](const std::string& key) {
     return std::find(a.failed.begin(), a.failed.end(), key) != a.failed.end();
   };
@@ -197,14 +197,14 @@
 }
 
 void Jobs::reread(Shard& shard) {
-  if (shard.rereading || state_.now() < shard.next_reread) return;
-  shard.next_reread = state_.now() + kRereadEvery;
-  shard.rereading = true;
+  if (!shard.unfinished_jobs_read.due(state_.now())) return;
+  shard.unfinished_jobs_read.schedule(state_.now() + kRereadEvery);
+  shard.unfinished_jobs_read.begin();
   state_.store.list(records::kLivePrefix, [this, name = shard.name, leadership_term = shard.leadership_term,
                                            asked = state_.now()](const StoreResponse& a) {
     Shard* p = state_.shard_in_term(name, leadership_term);
     if (p == nullptr) return;
-    p->rereading = false;
+    p->unfinished_jobs_read.end();
     if (!a.ok()) return;
     for (const KeyValue& entry : a.entries) {
       const auto record = records::live_job(entry.value);
--- a/src/core/state/shard.h
+++ b/src/core/state/shard.h
@@ -9,8 +9,10 @@
 #include <vector>
 
 #include "core/model/peer_messages.h"
+#include "core/state/done_slot.h"
 #include "core/state/job.h"
 #include "core/state/machine.h"
+#include "core/state/periodic_request.h"
 
 namespace bendtide {
 
@@ -22,16 +24,6 @@
   bool guaranteed = false;
 };
 
-/// One record of finished tasks. It holds those of many jobs, so that one write serves all that ended since
-/// the last.
-struct DoneSlot {
-  Revision revision = 0;
-  std::set<std::pair<std::string, std::uint32_t>> chunks;  ///< job and chunk of its tasks
-  std::size_t bytes = 0;                                   ///< at most, with every task done
-  bool dirty = false;
-  bool outcome_unknown = false;  ///< a write without answer: its stamp has to be read
-};
-
 /// One record of machines that belong to the shard.
 struct OwnershipBlock {
   Revision revision = 0;
@@ -65,11 +57,9 @@
   Micros awards_valid_until{0};  ///< and are acted on until then: they may be taken back unseen
   Micros next_awards{0};
   bool reading_progress = false;
-  Micros next_progress{0};  ///< when to read what others did of our jobs
-  bool rereading = false;
-  Micros next_reread{0};
-  bool recording = false;  ///< a batch of finished tasks is under way
-  Micros next_recording{0};
+  Micros next_progress{0};               ///< when to read what others did of our jobs
+  PeriodicRequest unfinished_jobs_read;  ///< finds jobs whose acceptance got no answer
+  PeriodicRequest finished_tasks_write;
 
   std::map<std::string, Job> jobs;
   std::map<std::string, Machine> machines;
@@ -80,9 +70,9 @@
   Micros next_watch{0};
   std::map<std::string, Micros> cut_zones;  ///< whose machines can't be reached, and since when
   Micros cut_over{0};                       ///< when one of them was last reached again
-  bool has_unreconciled_jobs = false;       ///< some were loaded, and not all machines are reconciled yet
+  bool has_unreconciled_jobs = false;       ///< jobs were loaded, and not all machines are reconciled yet
   std::vector<std::string> push;            ///< machines to be told something at once
-  std::vector<std::string> over;            ///< jobs that are ended, until nothing of them is left
+  std::vector<std::string> ended_jobs;      ///< until no attempt of them is left
   std::map<std::uint32_t, DoneSlot> done_slots;
   std::map<std::uint32_t, OwnershipBlock> ownership_blocks;
   std::vector<UnreachableMachine> handover;  ///< by the last leader, for the loading
@@ -96,7 +86,7 @@
   /// Ended: nothing of it may start, and all of it has to go.
   void end(Job& job) {
     if (std::exchange(job.ended, true)) return;
-    over.push_back(job.spec.id);
+    ended_jobs.push_back(job.spec.id);
   }
   bool all_reconciled() const {
     return std::all_of(machines.begin(), machines.end(), [](const auto& m) { return m.second.reconciled; });
