--- a/src/core/controller/controller.cpp
+++ b/src/core/controller/controller.cpp
@@ -222,7 +222,7 @@
   for (const KeyValue& entry : live) {
     auto record = records::live_job(entry.value);
     if (!record) continue;
-    jobs_.learn(*record);
+    jobs_.learn_shard(*record);
     if (record->shard == shard.name && state_.may_act_on(shard, record->spec.id, asked))
       Jobs::load(shard, *record).unreconciled = true;
   }
--- /dev/null
+++ b/src/core/jobs/cancellations.h
@@ -0,0 +1,46 @@
+// Cancellations of jobs by their users.
+#pragma once
+
+#include <string>
+#include <vector>
+
+#include "core/jobs/final_state_writer.h"
+#include "core/jobs/job_polls.h"
+
+namespace bendtide {
+
+/// Cancels jobs. The leader of a job's shard writes its final state; other controllers forward the request to
+/// the leader, or to all peers if the job's record can't be read.
+class Cancellations {
+ public:
+  Cancellations(ControllerState& state, JobDirectory& directory, PeerQuestions& questions, JobPolls& polls,
+                FinalStateWriter& final_states)
+      : state_(state),
+        directory_(directory),
+        questions_(questions),
+        polls_(polls),
+        final_states_(final_states) {}
+
+  /// Replies with the final state, which is another than "cancelled" if the job ended otherwise before.
+  void cancel(const std::string& job, const ReplyCallback& respond, RequestOrigin origin);
+
+ private:
+  struct Cancellation {
+    std::string job;
+    RequestOrigin origin = RequestOrigin::peer;
+    Micros asked_at{0};  ///< steady clock
+    ReplyCallback respond;
+  };
+  void cancel_here(const Cancellation& cancellation, Shard& shard, Job& job);
+  void forward_to(const std::string& host, const Cancellation& cancellation);
+  void forward_to_all_peers(const Cancellation& cancellation);
+  void on_live_record(const Cancellation& cancellation, const StoreResponse& response);
+
+  ControllerState& state_;
+  JobDirectory& directory_;
+  PeerQuestions& questions_;
+  JobPolls& polls_;
+  FinalStateWriter& final_states_;
+};
+
+}  // namespace bendtide
--- a/src/core/jobs/jobs.cpp
+++ b/src/core/jobs/jobs.cpp
@@ -1,26 +1,91 @@
 #include "core/jobs/jobs.h"
 
+#include "core/jobs/ended_jobs.h"
+
 namespace bendtide {
 
 Jobs::Jobs(ControllerState& state, Hooks hooks)
     : state_(state),
-      hooks_(std::move(hooks)),
-      // A reply to a question of an earlier process of this host must not pass for one to ours.
-      next_question_(state.context.random() >> 8) {}
+      directory_(state),
+      questions_(state),
+      polls_(state, directory_, questions_),
+      final_states_(state, directory_, hooks.invalidate_leases),
+      cancellations_(state, directory_, questions_, polls_, final_states_),
+      unfinished_jobs_(state, directory_),
+      submissions_(state, directory_, questions_, polls_, unfinished_jobs_, hooks),
+      recorder_(state, hooks.invalidate_leases) {}
 
 void Jobs::tick() {
-  give_up_late_questions();
-  give_up_queued_submissions();
+  questions_.expire();
+  submissions_.give_up_unwritable();
   if (!state_.lease_valid()) return;
-  Shard* own = state_.ready_shard(state_.self());
-  if (own != nullptr && !queued_submissions_.empty()) write_accepted(*own);
+  submissions_.write_queued();
   for (auto& [name, shard] : state_.shards) {
     if (!shard.ready()) continue;
-    end_finished_jobs(shard);
-    record(shard);
-    settle(shard);
-    reread(shard);
+    final_states_.end_finished_jobs(shard);
+    recorder_.record(shard);
+    clean_up_ended_jobs(state_, shard);
+    unfinished_jobs_.read(shard);
   }
 }
 
+void Jobs::on_submit(std::uint64_t request, const JobSpec& spec) {
+  submissions_.submit(spec, reply_to_user(request), RequestOrigin::user);
+}
+
+void Jobs::on_malformed(std::uint64_t request, const std::string& job, const std::string& why) {
+  if (const auto known = directory_.known_status(job))
+    return reply_to_user(request)(replies::status(job, *known));
+  submissions_.refuse(replies::refusal(job, 400, why), reply_to_user(request), RequestOrigin::user);
+}
+
+void Jobs::on_poll(std::uint64_t request, const std::string& job) {
+  polls_.poll(job, reply_to_user(request), RequestOrigin::user);
+}
+
+void Jobs::on_cancel(std::uint64_t request, const std::string& job) {
+  cancellations_.cancel(job, reply_to_user(request), RequestOrigin::user);
+}
+
+void Jobs::on_query(const std::string& from_host, const JobQuery& query) {
+  const ReplyCallback respond = reply_to_peer(from_host, query.id);
+  switch (query.kind) {
+    case JobQuery::Kind::poll:
+      if (query.fresh) return polls_.poll(query.job, respond, RequestOrigin::peer);
+      if (const auto known = directory_.known_status(query.job))
+        return respond(replies::status(query.job, *known));
+      return respond(replies::unavailable(query.job));
+    case JobQuery::Kind::cancel:
+      return cancellations_.cancel(query.job, respond, RequestOrigin::peer);
+    case JobQuery::Kind::submit:
+      return submissions_.submit(query.spec, respond, RequestOrigin::peer);
+  }
+}
+
+void Jobs::on_reply(const JobReply& reply) { questions_.on_reply(reply); }
+
+ReplyCallback Jobs::reply_to_user(std::uint64_t request) {
+  return [this, request](const UserReply& reply) {
+    const UserReply newest = directory_.newest(reply);
+    state_.context.debug([&] {
+      return LogMessage("request answered")
+          .job(newest.id)
+          .detail("request", request)
+          .detail("status", static_cast<std::uint64_t>(newest.status))
+          .detail("phase", to_text(newest.phase))
+          .detail("done", newest.done)
+          .detail("running", newest.running);
+    });
+    state_.context.act(AnswerUser{request, newest});
+  };
+}
+
+ReplyCallback Jobs::reply_to_peer(const std::string& host, std::uint64_t query) {
+  return [this, host, query](const UserReply& reply) {
+    const UserReply newest = directory_.newest(reply);
+    state_.context.act(PeerSend{host, JobReply{query, static_cast<std::uint32_t>(newest.status), newest.phase,
+                                               newest.done, newest.running}});
+  };
+}
+
 }  // namespace bendtide
--- /dev/null
+++ b/src/core/jobs/submissions.h
@@ -0,0 +1,85 @@
+// Submissions of jobs: checked, gathered, and written to the key-value store in batches.
+#pragma once
+
+#include <deque>
+#include <functional>
+#include <map>
+#include <optional>
+#include <string>
+#include <vector>
+
+#include "core/jobs/job_polls.h"
+#include "core/jobs/unfinished_job_reader.h"
+
+namespace bendtide {
+
+/// Accepts jobs into this controller's own shard. A job's id is its idempotency key: a repeated submission is
+/// answered with the job's status. A job is accepted once its record is written; where the outcome of that
+/// write is unknown, a later poll, a repeated submission or UnfinishedJobReader finds the job.
+class Submissions {
+ public:
+  struct Hooks {
+    std::function<void(Shard&)> schedule;     ///< jobs were accepted into the shard
+    std::function<void()> invalidate_leases;  ///< a conflict: another controller may lead the shard
+  };
+  Submissions(ControllerState& state, JobDirectory& directory, PeerQuestions& questions, JobPolls& polls,
+              UnfinishedJobReader& reader, Hooks hooks)
+      : state_(state),
+        directory_(directory),
+        questions_(questions),
+        polls_(polls),
+        reader_(reader),
+        hooks_(std::move(hooks)) {}
+
+  void submit(const JobSpec& spec, ReplyCallback respond, RequestOrigin origin);
+  /// Replies with `refusal`, unless the job was accepted before, perhaps under other settings or with another
+  /// body: then it stays accepted, and the reply shows its status.
+  void refuse(const UserReply& refusal, ReplyCallback respond, RequestOrigin origin);
+  /// Writes queued submissions, as far as the limit of writes in flight allows.
+  void write_queued();
+  /// Replies "unavailable" to queued submissions while they can't be written.
+  void give_up_unwritable();
+
+ private:
+  /// A submission that is not accepted yet, and the callers that wait for it.
+  struct Submission {
+    records::LiveJob record;
+    std::vector<ReplyCallback> callbacks;
+  };
+  /// Submissions that are written in one transaction.
+  struct Batch {
+    std::string shard;
+    std::uint64_t leadership_term = 0;
+    Micros asked_at{0};  ///< when the write was requested; steady clock
+    std::vector<Submission> submissions;
+  };
+
+  bool can_accept() const;
+  /// Why a job can never run here; none if it can.
+  std::optional<std::string> reason_to_reject(const JobSpec& spec) const;
+  /// The callers that wait for a submission which is queued or being written; null if there is none.
+  std::vector<ReplyCallback>* callers_of(const std::string& job);
+  std::size_t max_queued() const;
+
+  Batch take_batch(const Shard& shard);
+  Transaction transaction_for(const Shard& shard, const Batch& batch) const;
+  void on_written(Batch batch, const StoreResponse& response);
+  void accept(Submission& submission, const Batch& batch, const StoreResponse& response);
+  void on_not_written(Batch& batch, const StoreResponse& response);
+  void reply_from_records(const Submission& submission);
+
+  static constexpr std::size_t kMaxWritesInFlight = 2;
+
+  ControllerState& state_;
+  JobDirectory& directory_;
+  PeerQuestions& questions_;
+  JobPolls& polls_;
+  UnfinishedJobReader& reader_;
+  Hooks hooks_;
+  std::deque<Submission> queued_;
+  /// Jobs being written, and the callers that have submitted them again since.
+  std::map<std::string, std::vector<ReplyCallback>> in_flight_;
+  std::size_t writes_in_flight_ = 0;
+};
+
+}  // namespace bendtide
--- /dev/null
+++ b/src/core/jobs/unfinished_job_reader.cpp
@@ -0,0 +1,36 @@
+#include "core/jobs/unfinished_job_reader.h"
+
+namespace bendtide {
+
+namespace {
+
+constexpr Micros kReadInterval = seconds(60);
+constexpr Micros kReadSoon = seconds(3);
+
+}  // namespace
+
+void UnfinishedJobReader::read(Shard& shard) {
+  if (!shard.unfinished_jobs_read.due(state_.now())) return;
+  shard.unfinished_jobs_read.begin();
+  shard.unfinished_jobs_read.schedule(state_.now() + kReadInterval);
+  state_.store.list(records::kLivePrefix, [this, name = shard.name, leadership_term = shard.leadership_term,
+                                           asked_at = state_.now()](const StoreResponse& response) {
+    Shard* current = state_.shard_in_term(name, leadership_term);
+    if (current != nullptr) on_records(*current, asked_at, response);
+  });
+}
+
+void UnfinishedJobReader::read_soon(Shard& shard) {
+  shard.unfinished_jobs_read.bring_forward(state_.now() + kReadSoon);
+}
+
+void UnfinishedJobReader::on_records(Shard& shard, Micros asked_at, const StoreResponse& response) {
+  shard.unfinished_jobs_read.end();
+  if (!response.ok()) return;
+  for (const KeyValue& entry : response.entries) {
+    const auto record = records::live_job(entry.value);
+    if (record && record->shard == shard.name) directory_.load_if_current(shard, *record, asked_at);
+  }
+}
+
+}  // namespace bendtide
--- a/tests/question_test.cpp
+++ b/tests/question_test.cpp
@@ -90,7 +90,7 @@
   records::LiveJob record;
   record.shard = "b";
   record.spec.id = kTask.job;
-  t.jobs.learn(record);
+  t.jobs.learn_shard(record);
   t.poll(100);
   EXPECT_EQ(t.redirected_heartbeats.size(), 1u);
   t.collect([&] { t.jobs.on_reply({t.redirected_heartbeats.back().id, 200, JobPhase::running, 0, 1}); });
