--- a/src/core/jobs/cancellations.cpp
+++ b/src/core/jobs/cancellations.cpp
@@ -1,5 +1,7 @@
 #include "core/jobs/cancellations.h"
 
+#include "core/runtime/unreadable_record.h"
+
 namespace bendtide {
 
 using Outcome = StoreResponse::Outcome;
@@ -48,10 +50,11 @@
   // Not unfinished: whatever became of the job, it can't be cancelled any more.
   if (response.outcome == Outcome::absent)
     return polls_.read(cancellation.job, cancellation.respond, RequestOrigin::peer);
-  const auto record = response.ok() && !response.entries.empty()
-                          ? records::live_job(response.entries.front().value)
-                          : std::nullopt;
-  if (!record) return forward_to_all_peers(cancellation);
+  const auto record = records::read_first(response, records::live_job);
+  if (!record) {
+    log_unreadable(state_.context, records::live_key(cancellation.job), record.error());
+    return forward_to_all_peers(cancellation);
+  }
   directory_.learn_shard(*record);
   const std::string leader = state_.leader_of(record->shard);
   if (leader != state_.self()) return forward_to(leader, cancellation);
--- a/src/core/jobs/final_state_writer.cpp
+++ b/src/core/jobs/final_state_writer.cpp
@@ -1,6 +1,7 @@
 #include "core/jobs/final_state_writer.h"
 
 #include "core/jobs/ended_jobs.h"
+#include "core/runtime/unreadable_record.h"
 
 namespace bendtide {
 
@@ -92,10 +93,9 @@
 
 void FinalStateWriter::on_stored_state(const FinalWrite& write, const StoreResponse& response,
                                        const ReplyCallback& respond) {
-  const auto record = response.ok() && !response.entries.empty()
-                          ? records::final_job(response.entries.front().value)
-                          : std::nullopt;
+  const auto record = records::read_first(response, records::final_job);
   if (!record) {
+    log_unreadable(state_.context, records::final_job_key(write.job), record.error());
     respond(replies::unavailable(write.job));
     retry_later(write);
     return;
--- a/src/core/jobs/job_polls.cpp
+++ b/src/core/jobs/job_polls.cpp
@@ -1,5 +1,7 @@
 #include "core/jobs/job_polls.h"
 
+#include "core/runtime/unreadable_record.h"
+
 namespace bendtide {
 
 using Outcome = StoreResponse::Outcome;
@@ -64,10 +66,11 @@
     });
     return;
   }
-  const auto record = response.ok() && !response.entries.empty()
-                          ? records::live_job(response.entries.front().value)
-                          : std::nullopt;
-  if (!record) return on_record_unavailable(read);
+  const auto record = records::read_first(response, records::live_job);
+  if (!record) {
+    log_unreadable(state_.context, records::live_key(read.job), record.error());
+    return on_record_unavailable(read);
+  }
   // It has ended since it was read; the next read shows how.
   if (state_.final_states.has_ended(read.job)) return read.respond(replies::unavailable(read.job));
   directory_.learn_shard(*record);
@@ -89,10 +92,11 @@
 
 void JobPolls::on_final_record(const JobRead& read, const StoreResponse& response) {
   if (response.outcome == Outcome::absent) return read.respond(replies::no_such_job(read.job));
-  const auto record = response.ok() && !response.entries.empty()
-                          ? records::final_job(response.entries.front().value)
-                          : std::nullopt;
-  if (!record) return on_record_unavailable(read);
+  const auto record = records::read_first(response, records::final_job);
+  if (!record) {
+    log_unreadable(state_.context, records::final_job_key(read.job), record.error());
+    return on_record_unavailable(read);
+  }
   const FinalState final_state{record->phase, record->phase == JobPhase::done ? record->tasks : 0};
   directory_.record_final_state(read.job, final_state);
   read.respond(replies::status(read.job, {final_state.phase, final_state.done, 0}));
--- a/src/core/jobs/unfinished_job_reader.cpp
+++ b/src/core/jobs/unfinished_job_reader.cpp
@@ -1,5 +1,7 @@
 #include "core/jobs/unfinished_job_reader.h"
 
+#include "core/runtime/unreadable_record.h"
+
 namespace bendtide {
 
 namespace {
@@ -29,6 +31,7 @@
   if (!response.ok()) return;
   for (const KeyValue& entry : response.entries) {
     const auto record = records::live_job(entry.value);
+    if (!record) log_unreadable(state_.context, entry.key, record.error());
     if (record && record->shard == shard.name) directory_.load_if_current(shard, *record, asked_at);
   }
 }
--- a/src/core/model/records.cpp
+++ b/src/core/model/records.cpp
@@ -1,83 +1,139 @@
 #include "core/model/records.h"
 
+#include "core/model/json_fields.h"
+
 namespace bendtide::records {
 
 namespace {
 
-/// Reads a record with nlohmann's checked accessors; whatever does not fit makes it none.
-template <class T, class F>
-std::optional<T> read(const Value& v, F&& fill) {
+/// Reads a record; what `read_fields` throws becomes the error.
+template <class Record, class ReadFields>
+ReadResult<Record> read(const Value& value, ReadFields&& read_fields) {
   try {
-    T out;
-    fill(out, v);
-    return out;
-  } catch (const Value::exception&) {
-    return std::nullopt;
+    return Record(read_fields(value));
+  } catch (const UnreadableField& unreadable_field) {
+    return unreadable_field.error;
   }
 }
 
-Value quota_json(const Quota& q) { return Value::array({q.cpu, q.gpu}); }
-Quota quota(const Value& v) { return {v.at(0).get<std::int64_t>(), v.at(1).get<std::int64_t>()}; }
-Value resources_json(const Resources& r) { return Value::array({r.cpu, r.gpu, r.memory}); }
-Resources resources(const Value& v) {
-  return {v.at(0).get<std::int64_t>(), v.at(1).get<std::int64_t>(), v.at(2).get<std::int64_t>()};
-}
-Micros micros(const Value& v) { return Micros{v.get<std::int64_t>()}; }
-
-template <class E>
-E enumerator(const Value& v, E last) {
-  auto n = v.get<std::uint64_t>();
-  if (n > static_cast<std::uint64_t>(last)) throw Value::out_of_range::create(401, "enumerator", &v);
-  return static_cast<E>(n);
-}
-
-Value spec_json(const JobSpec& s) {
-  Value out = {{"id", s.id},
-               {"class", s.job_class},
-               {"team", s.team},
-               {"shape", static_cast<int>(s.shape)},
-               {"priority", static_cast<int>(s.priority)},
-               {"tasks", s.tasks},
-               {"each", resources_json(s.each)},
-               {"spot", s.spot},
-               {"image", s.image},
-               {"image_gb", s.image_gb},
-               {"estimate", s.estimate.count()}};
-  if (!s.types.empty()) out["types"] = s.types;
-  if (s.zone) out["zone"] = *s.zone;
-  if (s.one_zone) out["one_zone"] = true;
-  if (s.spread) out["spread"] = true;
-  if (s.checkpoint.count() > 0) out["checkpoint"] = s.checkpoint.count();
-  if (s.save.count() > 0) out["save"] = s.save.count();
-  if (s.deadline) out["deadline"] = s.deadline->count();
+Value quota_json(const Quota& quota) { return Value::array({quota.cpu, quota.gpu}); }
+Quota quota(const Value& value) { return {element<std::int64_t>(value, 0), element<std::int64_t>(value, 1)}; }
+
+Value resources_json(const Resources& resources) {
+  return Value::array({resources.cpu, resources.gpu, resources.memory});
+}
+Resources resources(const Value& value) {
+  return {element<std::int64_t>(value, 0), element<std::int64_t>(value, 1), element<std::int64_t>(value, 2)};
+}
+
+Micros micros(const Value& value) { return Micros{as<std::int64_t>(value)}; }
+
+template <class Enum>
+Enum enumerator(const Value& value, Enum last) {
+  const auto number = as<std::uint64_t>(value);
+  if (number > static_cast<std::uint64_t>(last)) unreadable(ReadError::Kind::out_of_range);
+  return static_cast<Enum>(number);
+}
+template <class Enum>
+Enum enumerator_field(const Value& object, const char* key, Enum last) {
+  return read_field(object, key, [&](const Value& value) { return enumerator(value, last); });
+}
+
+Value spec_json(const JobSpec& spec) {
+  Value out = {{"id", spec.id},
+               {"class", spec.job_class},
+               {"team", spec.team},
+               {"shape", static_cast<int>(spec.shape)},
+               {"priority", static_cast<int>(spec.priority)},
+               {"tasks", spec.tasks},
+               {"each", resources_json(spec.each)},
+               {"spot", spec.spot},
+               {"image", spec.image},
+               {"image_gb", spec.image_gb},
+               {"estimate", spec.estimate.count()}};
+  if (!spec.types.empty()) out["types"] = spec.types;
+  if (spec.zone) out["zone"] = *spec.zone;
+  if (spec.one_zone) out["one_zone"] = true;
+  if (spec.spread) out["spread"] = true;
+  if (spec.checkpoint.count() > 0) out["checkpoint"] = spec.checkpoint.count();
+  if (spec.save.count() > 0) out["save"] = spec.save.count();
+  if (spec.deadline) out["deadline"] = spec.deadline->count();
   return out;
 }
 
-JobSpec spec(const Value& v) {
-  JobSpec s;
-  s.id = v.at("id").get<std::string>();
-  s.job_class = v.at("class").get<std::string>();
-  s.team = v.at("team").get<std::string>();
-  s.shape = enumerator(v.at("shape"), Shape::service);
-  s.priority = enumerator(v.at("priority"), Priority::production);
-  s.tasks = v.at("tasks").get<std::uint32_t>();
-  s.each = resources(v.at("each"));
-  s.spot = v.at("spot").get<bool>();
-  s.image = v.at("image").get<std::string>();
-  s.image_gb = v.at("image_gb").get<double>();
-  s.estimate = micros(v.at("estimate"));
-  s.types = v.value("types", std::vector<std::string>{});
-  if (v.contains("zone")) s.zone = v.at("zone").get<std::string>();
-  s.one_zone = v.value("one_zone", false);
-  s.spread = v.value("spread", false);
-  s.checkpoint = Micros{v.value("checkpoint", std::int64_t{0})};
-  s.save = Micros{v.value("save", std::int64_t{0})};
-  if (v.contains("deadline")) s.deadline = micros(v.at("deadline"));
-  return s;
+JobSpec job_spec(const Value& value) {
+  JobSpec spec;
+  spec.id = field<std::string>(value, "id");
+  spec.job_class = field<std::string>(value, "class");
+  spec.team = field<std::string>(value, "team");
+  spec.shape = enumerator_field(value, "shape", Shape::service);
+  spec.priority = enumerator_field(value, "priority", Priority::production);
+  spec.tasks = field<std::uint32_t>(value, "tasks");
+  spec.each = read_field(value, "each", resources);
+  spec.spot = field<bool>(value, "spot");
+  spec.image = field<std::string>(value, "image");
+  spec.image_gb = field<double>(value, "image_gb");
+  spec.estimate = read_field(value, "estimate", micros);
+  spec.types = field_or(value, "types", std::vector<std::string>{});
+  if (value.contains("zone")) spec.zone = field<std::string>(value, "zone");
+  spec.one_zone = field_or(value, "one_zone", false);
+  spec.spread = field_or(value, "spread", false);
+  spec.checkpoint = Micros{field_or(value, "checkpoint", std::int64_t{0})};
+  spec.save = Micros{field_or(value, "save", std::int64_t{0})};
+  if (value.contains("deadline")) spec.deadline = read_field(value, "deadline", micros);
+  return spec;
+}
+
+constexpr unsigned kBitsPerDigit = 4;
+
+/// A bitmap in hexadecimal digits, the lowest bit of each digit first.
+std::string to_hex(const std::vector<bool>& bits) {
+  static constexpr char kDigits[] = "0123456789abcdef";
+  std::string hex;
+  hex.reserve(bits.size() / kBitsPerDigit + 1);
+  for (std::size_t first = 0; first < bits.size(); first += kBitsPerDigit) {
+    unsigned digit = 0;
+    for (std::size_t i = first; i < std::min(first + kBitsPerDigit, bits.size()); ++i)
+      if (bits[i]) digit |= 1U << (i - first);
+    hex += kDigits[digit];
+  }
+  return hex;
+}
+
+unsigned hex_digit(char c) {
+  if (c >= '0' && c <= '9') return static_cast<unsigned>(c - '0');
+  if (c >= 'a' && c <= 'f') return static_cast<unsigned>(c - 'a') + 10;
+  unreadable(ReadError::Kind::out_of_range);
+}
+
+/// The bitmap is filled up with zeroes to a whole digit.
+std::vector<bool> bits_from_hex(const Value& value) {
+  if (!value.is_string()) unreadable(ReadError::Kind::wrong_type);
+  std::vector<bool> bits;
+  for (const char c : value.get_ref<const std::string&>()) {
+    const unsigned digit = hex_digit(c);
+    for (unsigned bit = 0; bit < kBitsPerDigit; ++bit) bits.push_back((digit >> bit & 1U) != 0);
+  }
+  return bits;
 }
 
 }  // namespace
 
+std::string to_string(const ReadError& error) {
+  const std::string where = error.field.empty() ? "" : " " + error.field;
+  switch (error.kind) {
+    case ReadError::Kind::no_record:
+      return "no record";
+    case ReadError::Kind::missing_field:
+      return "missing field" + where;
+    case ReadError::Kind::wrong_type:
+      return "wrong type" + where;
+    case ReadError::Kind::out_of_range:
+      break;
+  }
+  return "out of range" + where;
+}
+
 std::vector<std::string> split_key(const std::string& key) {
   std::vector<std::string> pieces(1);
   for (char c : key) {
@@ -89,142 +145,136 @@
   return pieces;
 }
 
-Value to_json(const LeaseRecord& h) { return {{"host", h.host}, {"incarnation", h.incarnation}}; }
-std::optional<LeaseRecord> lease_record(const Value& v) {
-  return read<LeaseRecord>(v, [](LeaseRecord& out, const Value& in) {
-    out.host = in.at("host").get<std::string>();
-    out.incarnation = in.at("incarnation").get<std::string>();
+Value to_json(const LeaseRecord& lease) { return {{"host", lease.host}, {"incarnation", lease.incarnation}}; }
+ReadResult<LeaseRecord> lease_record(const Value& value) {
+  return read<LeaseRecord>(value, [](const Value& in) {
+    return LeaseRecord{field<std::string>(in, "host"), field<std::string>(in, "incarnation")};
   });
 }
 
-Value to_json(const QuotaAllocation& r) {
-  Value quota_shares = Value::object();
-  for (const auto& [team, share] : r.quota_shares) quota_shares[team] = quota_json(share);
-  return {{"shares", quota_shares}};
+Value to_json(const QuotaAllocation& allocation) {
+  Value shares = Value::object();
+  for (const auto& [team, share] : allocation.quota_shares) shares[team] = quota_json(share);
+  return {{"shares", shares}};
 }
-std::optional<QuotaAllocation> quota_allocation(const Value& v) {
-  return read<QuotaAllocation>(v, [](QuotaAllocation& out, const Value& in) {
-    for (const auto& [team, share] : in.at("shares").items()) out.quota_shares[team] = quota(share);
+ReadResult<QuotaAllocation> quota_allocation(const Value& value) {
+  return read<QuotaAllocation>(value, [](const Value& in) {
+    return read_field(in, "shares", [](const Value& shares) {
+      QuotaAllocation allocation;
+      for (const auto& [team, share] : shares.items())
+        allocation.quota_shares[team] = within(team.c_str(), [&value = share] { return quota(value); });
+      return allocation;
+    });
   });
 }
 
-Value to_json(const FinalJob& e) { return {{"phase", static_cast<int>(e.phase)}, {"tasks", e.tasks}}; }
-std::optional<FinalJob> final_job(const Value& v) {
-  return read<FinalJob>(v, [](FinalJob& out, const Value& in) {
-    out.phase = enumerator(in.at("phase"), JobPhase::cancelled);
-    out.tasks = in.at("tasks").get<std::uint32_t>();
+Value to_json(const FinalJob& job) { return {{"phase", static_cast<int>(job.phase)}, {"tasks", job.tasks}}; }
+ReadResult<FinalJob> final_job(const Value& value) {
+  return read<FinalJob>(value, [](const Value& in) {
+    return FinalJob{enumerator_field(in, "phase", JobPhase::cancelled), field<std::uint32_t>(in, "tasks")};
   });
 }
 
-Value to_json(const LiveJob& j) {
-  return {{"part", j.shard}, {"spec", spec_json(j.spec)}, {"accepted", j.accepted.count()}};
+Value to_json(const LiveJob& job) {
+  return {{"part", job.shard}, {"spec", spec_json(job.spec)}, {"accepted", job.accepted.count()}};
 }
-std::optional<LiveJob> live_job(const Value& v) {
-  return read<LiveJob>(v, [](LiveJob& out, const Value& in) {
-    out.shard = in.at("part").get<std::string>();
-    out.spec = spec(in.at("spec"));
-    out.accepted = micros(in.at("accepted"));
+ReadResult<LiveJob> live_job(const Value& value) {
+  return read<LiveJob>(value, [](const Value& in) {
+    return LiveJob{field<std::string>(in, "part"), read_field(in, "spec", job_spec),
+                   read_field(in, "accepted", micros)};
   });
 }
 
-Value to_json(const Award& a) {
+Value to_json(const Award& award) {
   Value ranges = Value::array();
-  for (const auto& [first, count] : a.ranges) ranges.push_back({first, count});
-  return {{"owner", a.owner}, {"ranges", ranges}, {"job", to_json(a.job)}};
-}
-std::optional<Award> award(const Value& v) {
-  return read<Award>(v, [](Award& out, const Value& in) {
-    out.owner = in.at("owner").get<std::string>();
-    for (const Value& range : in.at("ranges"))
-      out.ranges.emplace_back(range.at(0).get<std::uint32_t>(), range.at(1).get<std::uint32_t>());
-    const Value& job = in.at("job");
-    out.job.shard = out.owner;
-    out.job.spec = spec(job.at("spec"));
-    out.job.accepted = micros(job.at("accepted"));
+  for (const auto& [first, count] : award.ranges) ranges.push_back({first, count});
+  return {{"owner", award.owner}, {"ranges", ranges}, {"job", to_json(award.job)}};
+}
+ReadResult<Award> award(const Value& value) {
+  using Range = std::pair<std::uint32_t, std::uint32_t>;
+  return read<Award>(value, [](const Value& in) {
+    Award award;
+    award.owner = field<std::string>(in, "owner");
+    award.ranges = read_field(in, "ranges", [](const Value& ranges) {
+      return read_elements<Range>(ranges, [](const Value& range) {
+        return Range{element<std::uint32_t>(range, 0), element<std::uint32_t>(range, 1)};
+      });
+    });
+    award.job = read_field(in, "job", [&](const Value& job) {
+      return LiveJob{award.owner, read_field(job, "spec", job_spec), read_field(job, "accepted", micros)};
+    });
+    return award;
   });
 }
 
 Value to_json(const std::vector<OwnedMachine>& machines) {
   Value out = Value::array();
-  for (const OwnedMachine& m : machines)
-    out.push_back({m.name, m.type, m.zone, m.spot, m.address, m.rented_at.count()});
+  for (const OwnedMachine& machine : machines)
+    out.push_back(
+        {machine.name, machine.type, machine.zone, machine.spot, machine.address, machine.rented_at.count()});
   return out;
 }
-std::size_t owned_machine_bytes(const OwnedMachine& m) {
-  constexpr std::size_t overhead = 48;         // quotes, commas, brackets, the flag and the time
-  constexpr std::size_t longest_address = 24;  // it may come later
-  return m.name.size() + m.type.size() + m.zone.size() + std::max(m.address.size(), longest_address) +
-         overhead;
-}
-std::optional<std::vector<OwnedMachine>> owned_machines(const Value& v) {
-  return read<std::vector<OwnedMachine>>(v, [](std::vector<OwnedMachine>& out, const Value& in) {
-    for (const Value& entry : in)
-      out.push_back({entry.at(0).get<std::string>(), entry.at(1).get<std::string>(),
-                     entry.at(2).get<std::string>(), entry.at(3).get<bool>(), entry.at(4).get<std::string>(),
-                     micros(entry.at(5))});
+std::size_t owned_machine_bytes(const OwnedMachine& machine) {
+  constexpr std::size_t kOverhead = 48;        // quotes, commas, brackets, the flag and the time
+  constexpr std::size_t kLongestAddress = 24;  // it may come later
+  return machine.name.size() + machine.type.size() + machine.zone.size() +
+         std::max(machine.address.size(), kLongestAddress) + kOverhead;
+}
+ReadResult<std::vector<OwnedMachine>> owned_machines(const Value& value) {
+  return read<std::vector<OwnedMachine>>(value, [](const Value& in) {
+    return read_elements<OwnedMachine>(in, [](const Value& entry) {
+      return OwnedMachine{element<std::string>(entry, 0), element<std::string>(entry, 1),
+                          element<std::string>(entry, 2), element<bool>(entry, 3),
+                          element<std::string>(entry, 4), read_element(entry, 5, micros)};
+    });
   });
 }
 
 Value to_json(const std::vector<MachineType>& types) {
   Value out = Value::array();
-  for (const MachineType& t : types)
-    out.push_back({{"name", t.name},
-                   {"size", resources_json(t.size)},
-                   {"cache_gb", t.cache_gb},
-                   {"fetch", t.fetch_gb_per_s},
-                   {"price", t.price},
-                   {"spot_price", t.spot_price},
-                   {"boot", t.boot.count()},
-                   {"zones", t.zones}});
+  for (const MachineType& type : types)
+    out.push_back({{"name", type.name},
+                   {"size", resources_json(type.size)},
+                   {"cache_gb", type.cache_gb},
+                   {"fetch", type.fetch_gb_per_s},
+                   {"price", type.price},
+                   {"spot_price", type.spot_price},
+                   {"boot", type.boot.count()},
+                   {"zones", type.zones}});
   return out;
 }
-std::optional<std::vector<MachineType>> catalogue(const Value& v) {
-  return read<std::vector<MachineType>>(v, [](std::vector<MachineType>& out, const Value& in) {
-    for (const Value& entry : in) {
-      MachineType t;
-      t.name = entry.at("name").get<std::string>();
-      t.size = resources(entry.at("size"));
-      t.cache_gb = entry.at("cache_gb").get<double>();
-      t.fetch_gb_per_s = entry.at("fetch").get<double>();
-      t.price = entry.at("price").get<double>();
-      t.spot_price = entry.at("spot_price").get<double>();
-      t.boot = micros(entry.at("boot"));
-      t.zones = entry.at("zones").get<std::vector<std::string>>();
-      out.push_back(std::move(t));
-    }
+ReadResult<std::vector<MachineType>> catalogue(const Value& value) {
+  return read<std::vector<MachineType>>(value, [](const Value& in) {
+    return read_elements<MachineType>(in, [](const Value& entry) {
+      MachineType type;
+      type.name = field<std::string>(entry, "name");
+      type.size = read_field(entry, "size", resources);
+      type.cache_gb = field<double>(entry, "cache_gb");
+      type.fetch_gb_per_s = field<double>(entry, "fetch");
+      type.price = field<double>(entry, "price");
+      type.spot_price = field<double>(entry, "spot_price");
+      type.boot = read_field(entry, "boot", micros);
+      type.zones = field<std::vector<std::string>>(entry, "zones");
+      return type;
+    });
   });
 }
 
 Value to_json(const std::vector<DoneBits>& done) {
-  static constexpr char digits[] = "0123456789abcdef";
   Value out = Value::array();
-  for (const DoneBits& d : done) {
-    std::string hex;
-    hex.reserve(d.bits.size() / 4 + 1);
-    for (std::size_t i = 0; i < d.bits.size(); i += 4) {
-      int nibble = 0;
-      for (std::size_t j = i; j < std::min(i + 4, d.bits.size()); ++j) nibble |= d.bits[j] ? 1 << (j - i) : 0;
-      hex += digits[nibble];
-    }
-    out.push_back({d.job, d.chunk, std::move(hex)});
-  }
+  for (const DoneBits& chunk : done) out.push_back({chunk.job, chunk.chunk, to_hex(chunk.bits)});
   return out;
 }
 std::size_t done_bytes(const std::string& job, std::size_t tasks) {
-  constexpr std::size_t overhead = 24;  // quotes, commas, brackets, the chunk's number
-  return job.size() + tasks / 4 + 1 + overhead;
-}
-std::optional<std::vector<DoneBits>> done(const Value& v) {
-  return read<std::vector<DoneBits>>(v, [](std::vector<DoneBits>& out, const Value& in) {
-    for (const Value& entry : in) {
-      DoneBits d{entry.at(0).get<std::string>(), entry.at(1).get<std::uint32_t>(), {}};
-      for (char c : entry.at(2).get_ref<const std::string&>()) {
-        const int nibble = c >= '0' && c <= '9' ? c - '0' : c >= 'a' && c <= 'f' ? c - 'a' + 10 : -1;
-        if (nibble < 0) throw Value::out_of_range::create(401, "bitmap", &entry);
-        for (int j = 0; j < 4; ++j) d.bits.push_back((nibble >> j & 1) != 0);
-      }
-      out.push_back(std::move(d));
-    }
+  constexpr std::size_t kOverhead = 24;  // quotes, commas, brackets, the chunk's number
+  return job.size() + tasks / kBitsPerDigit + 1 + kOverhead;
+}
+ReadResult<std::vector<DoneBits>> done(const Value& value) {
+  return read<std::vector<DoneBits>>(value, [](const Value& in) {
+    return read_elements<DoneBits>(in, [](const Value& entry) {
+      return DoneBits{element<std::string>(entry, 0), element<std::uint32_t>(entry, 1),
+                      read_element(entry, 2, bits_from_hex)};
+    });
   });
 }
 
--- a/src/core/model/records.h
+++ b/src/core/model/records.h
@@ -1,34 +1,43 @@
-// The records kept in the key-value store, and their keys. The layout is bendtide's own.
+// The records kept in the key-value store, and their keys. Keys and fields are part of the stored data: they
+// stay as they are, also where the code has other names by now.
 //
-//   hold/PART            who holds the shard; attached to the leader's lease; its stamp is the shard's
-//   fencing token room/PART            the shard's share of each team's limit; its stamp is the room version
-//   live/ID              the description of an unfinished job, and its shard: written when it is accepted
-//   job/ID               the final state of a job: in the write that ends it, instead of live/ID
-//   done/PART/SLOT       finished tasks of unfinished jobs, as bitmaps, written by the shard that ran them
-//   award/PART/ID/ROUND  tasks of another shard's job awarded to PART
-//   claim/PART/BLOCK     machines that belong to a shard
-//   claim/-/PART         rewritten with every claim of a machine whose home the shard is
-//   (core/ownership/machine_ownership.h) catalogue            machine types, for restarts while the cloud is
-//   down policy               the operators' own settings
+//   key                  record
+//   hold/SHARD           LeaseRecord: the shard's leader; attached to the leader's lease. Its revision is the
+//                        shard's fencing token
+//   room/SHARD           QuotaAllocation: the shard's share of each team's limit
+//   live/JOB             LiveJob: an unfinished job and its shard; written when the job is accepted
+//   job/JOB              FinalJob: the final state of a job; replaces live/JOB in one transaction
+//   done/SHARD/SLOT      DoneBits of unfinished jobs, written by the shard that ran the tasks
+//   award/SHARD/JOB/ROUND  Award: tasks of another shard's job awarded to SHARD
+//   claim/SHARD/BLOCK    OwnedMachine list: machines that belong to the shard
+//   claim/-/SHARD        rewritten with every ownership record of a machine whose home is the shard
+//                        (core/ownership/machine_ownership.h)
+//   catalogue            machine types, for restarts while the cloud's API is down
+//   policy               the operators' own settings (core/model/policy.h)
 #pragma once
 
 #include "core/model/job.h"
 #include "core/model/machine_type.h"
+#include "core/model/read_result.h"
 #include "core/model/store_messages.h"
 
 namespace bendtide::records {
 
+/// The leader of a shard.
 struct LeaseRecord {
   std::string host;
   std::string incarnation;
 };
+/// The part of each team's limit that a shard may use.
 struct QuotaAllocation {
-  std::map<std::string, Quota> quota_shares;
+  std::map<std::string, Quota> quota_shares;  ///< by team
 };
+/// How a job ended.
 struct FinalJob {
   JobPhase phase = JobPhase::pending;
   std::uint32_t tasks = 0;
 };
+/// An unfinished job.
 struct LiveJob {
   std::string shard;
   JobSpec spec;
@@ -40,17 +49,19 @@
   std::uint32_t chunk = 0;
   std::vector<bool> bits;
 };
+/// Tasks that a shard has awarded to another.
 struct Award {
-  std::string owner;
+  std::string owner;                                            ///< the shard whose job it is
   std::vector<std::pair<std::uint32_t, std::uint32_t>> ranges;  ///< first task, number of tasks
   LiveJob job;
 };
+/// A machine that belongs to a shard.
 struct OwnedMachine {
   std::string name;
   std::string type;
   std::string zone;
   bool spot = false;
-  std::string address;
+  std::string address;  ///< empty until its worker has sent a heartbeat
   Micros rented_at{0};  ///< wall clock
 };
 
@@ -66,7 +77,7 @@
 inline std::string award_key(const std::string& shard, const std::string& id, std::uint64_t round) {
   return award_prefix(shard) + id + "/" + std::to_string(round);
 }
-inline const std::string kHomeShards = "-";  ///< sorts before the name of any shard
+inline const std::string kHomeShards = "-";  ///< in place of a shard; sorts before the name of any
 inline std::string ownership_key(const std::string& shard, std::uint32_t block) {
   return "claim/" + shard + "/" + std::to_string(block);
 }
@@ -84,27 +95,35 @@
 /// Splits a key at its slashes.
 std::vector<std::string> split_key(const std::string& key);
 
+// Writing.
 Value to_json(const LeaseRecord&);
 Value to_json(const QuotaAllocation&);
 Value to_json(const FinalJob&);
 Value to_json(const LiveJob&);
 Value to_json(const Award&);
 Value to_json(const std::vector<OwnedMachine>&);
-/// How much one machine takes in a block, at most.
+/// Upper bound of the bytes that one machine takes in an ownership record.
 std::size_t owned_machine_bytes(const OwnedMachine&);
 Value to_json(const std::vector<MachineType>&);
 Value to_json(const std::vector<DoneBits>& done);
-/// How much one chunk takes in a done record, at most.
+/// Upper bound of the bytes that one chunk of `tasks` tasks takes in a done record.
 std::size_t done_bytes(const std::string& job, std::size_t tasks);
 
-/// A record that can't be read is none: the caller drops it and says so.
-std::optional<LeaseRecord> lease_record(const Value&);
-std::optional<QuotaAllocation> quota_allocation(const Value&);
-std::optional<FinalJob> final_job(const Value&);
-std::optional<LiveJob> live_job(const Value&);
-std::optional<Award> award(const Value&);
-std::optional<std::vector<OwnedMachine>> owned_machines(const Value&);
-std::optional<std::vector<MachineType>> catalogue(const Value&);
-std::optional<std::vector<DoneBits>> done(const Value&);
+// Reading. A record that can't be read is dropped by its reader, which logs the error.
+ReadResult<LeaseRecord> lease_record(const Value&);
+ReadResult<QuotaAllocation> quota_allocation(const Value&);
+ReadResult<FinalJob> final_job(const Value&);
+ReadResult<LiveJob> live_job(const Value&);
+ReadResult<Award> award(const Value&);
+ReadResult<std::vector<OwnedMachine>> owned_machines(const Value&);
+ReadResult<std::vector<MachineType>> catalogue(const Value&);
+ReadResult<std::vector<DoneBits>> done(const Value&);
+
+/// Reads the record that a response to a GetKey shows, by one of the functions above.
+template <class Record>
+ReadResult<Record> read_first(const StoreResponse& response, ReadResult<Record> (*read)(const Value&)) {
+  if (!response.ok() || response.entries.empty()) return ReadError{ReadError::Kind::no_record, {}};
+  return read(response.entries.front().value);
+}
 
 }  // namespace bendtide::records
--- a/src/core/negotiation/contract_net.cpp
+++ b/src/core/negotiation/contract_net.cpp
@@ -366,8 +366,7 @@
   state_.store.get(records::quota_key(shard.name), [this, move](const StoreResponse& a) {
     Shard* p = state_.shard_in_term(move.shard, move.leadership_term);
     if (p == nullptr) return;
-    auto quota_allocation =
-        a.ok() && !a.entries.empty() ? records::quota_allocation(a.entries.front().value) : std::nullopt;
+    const auto quota_allocation = records::read_first(a, records::quota_allocation);
     if (!quota_allocation) return resolve_unknown_move_later(move);
     Transaction transaction;
     transaction.compares = {state_.fenced_by(*p), {records::quota_key(p->name), a.entries.front().revision}};
--- a/tests/recorded_cases.cpp
+++ b/tests/recorded_cases.cpp
@@ -104,7 +104,7 @@
 // ---- reading records -----------------------------------------------------------------------------
 
 template <class Record>
-std::optional<std::string> written(const std::optional<Record>& record) {
+std::optional<std::string> written(const records::ReadResult<Record>& record) {
   if (!record) return std::nullopt;
   return records::to_json(*record).dump();
 }
