--- a/src/core/controller/controller.cpp
+++ b/src/core/controller/controller.cpp
@@ -120,7 +120,7 @@
   state_.store.get(records::kPolicyKey, [this](const StoreResponse& a) {
     if (!a.ok() || a.entries.empty()) return;
     Policy next;
-    if (!Policy::apply(next, a.entries.front().value)) context_.policy = next;
+    if (!next.apply(a.entries.front().value)) context_.policy = next;
   });
 }
 
@@ -161,9 +161,10 @@
     if (!a.ok() && a.outcome != Outcome::absent) return unavailable();
     Policy next;
     const Revision revision = a.entries.empty() ? Revision{} : a.entries.front().revision;
-    if (revision != 0) Policy::apply(next, a.entries.front().value);
-    if (auto problem = Policy::apply(next, fields)) {
-      context_.act(AnswerAdmin{request, 400, {{"error", *problem}}});
+    // A stored policy that can't be applied counts as the default.
+    if (revision != 0 && next.apply(a.entries.front().value)) next = Policy{};
+    if (const auto error = next.apply(fields)) {
+      context_.act(AnswerAdmin{request, 400, {{"error", error->text()}}});
       return;
     }
     Transaction transaction;
--- a/src/core/model/policy.cpp
+++ b/src/core/model/policy.cpp
@@ -6,55 +6,75 @@
 
 namespace {
 
+constexpr int kMinCallRounds = 1;
+constexpr int kMaxCallRounds = 3;
+
 /// Calls `number(name, field, low, high)` for each numeric field, so that reading, writing and checking
 /// share one table.
 template <class P, class F>
-void each_number(P& p, F&& number) {
-  number("idle_return_s", p.idle_return_s, 1.0, 3600.0);
-  number("silence_reports", p.silence_reports, 1.5, 100.0);
-  number("call_again_s", p.call_again_s, 0.1, 600.0);
-  number("close_bids", p.close_bids, 0.0, 1.0);
+void each_number(P& policy, F&& number) {
+  number("idle_return_s", policy.idle_return_s, 1.0, 3600.0);
+  number("silence_reports", policy.silence_reports, 1.5, 100.0);
+  number("call_again_s", policy.call_again_s, 0.1, 600.0);
+  number("close_bids", policy.close_bids, 0.0, 1.0);
+}
+
+std::optional<PolicyError> check_names(const Value& fields, const Value& known) {
+  for (const auto& [name, value] : fields.items())
+    if (!known.contains(name)) return PolicyError{name, "no such setting"};
+  return std::nullopt;
+}
+
+std::optional<PolicyError> apply_numbers(Policy& policy, const Value& fields) {
+  std::optional<PolicyError> error;
+  each_number(policy, [&](const char* name, double& field, double low, double high) {
+    const auto given = fields.find(name);
+    if (given == fields.end() || error) return;
+    const double value = given->is_number() ? given->get<double>() : NAN;
+    if (value >= low && value <= high)
+      field = value;
+    else
+      error = {name, "must be a number from " + std::to_string(low) + " to " + std::to_string(high)};
+  });
+  return error;
+}
+
+std::optional<PolicyError> apply_call_rounds(Policy& policy, const Value& fields) {
+  const auto given = fields.find("call_rounds");
+  if (given == fields.end()) return std::nullopt;
+  if (!given->is_number_integer() || given->get<std::int64_t>() < kMinCallRounds ||
+      given->get<std::int64_t>() > kMaxCallRounds)
+    return PolicyError{"call_rounds", "must be an integer from " + std::to_string(kMinCallRounds) + " to " +
+                                          std::to_string(kMaxCallRounds)};
+  policy.call_rounds = given->get<int>();
+  return std::nullopt;
+}
+
+std::optional<PolicyError> apply_spot_machines(Policy& policy, const Value& fields) {
+  const auto given = fields.find("spot_machines");
+  if (given == fields.end()) return std::nullopt;
+  if (!given->is_boolean()) return PolicyError{"spot_machines", "must be true or false"};
+  policy.spot_machines = given->get<bool>();
+  return std::nullopt;
 }
 
 }  // namespace
 
-Value Policy::to_json(const Policy& p) {
-  Value out = {{"call_rounds", p.call_rounds}, {"spot_machines", p.spot_machines}};
-  each_number(p, [&](const char* name, double field, double, double) { out[name] = field; });
+Value Policy::to_json(const Policy& policy) {
+  Value out = {{"call_rounds", policy.call_rounds}, {"spot_machines", policy.spot_machines}};
+  each_number(policy, [&](const char* name, double field, double, double) { out[name] = field; });
   return out;
 }
 
-std::optional<std::string> Policy::apply(Policy& p, const Value& fields) {
-  if (!fields.is_object()) return "body: must be an object";
-  Policy next = p;
-  std::optional<std::string> problem;
-  Value known = to_json(p);
-  for (const auto& [name, value] : fields.items())
-    if (!known.contains(name)) return name + ": no such setting";
-  each_number(next, [&](const char* name, double& field, double low, double high) {
-    auto it = fields.find(name);
-    if (it == fields.end() || problem) return;
-    double value = it->is_number() ? it->get<double>() : NAN;
-    if (!(value >= low && value <= high))
-      problem = std::string(name) + ": must be a number from " + std::to_string(low) + " to " +
-                std::to_string(high);
-    else
-      field = value;
-  });
-  if (auto it = fields.find("call_rounds"); it != fields.end() && !problem) {
-    if (!it->is_number_integer() || it->get<std::int64_t>() < 1 || it->get<std::int64_t>() > 3)
-      problem = "call_rounds: must be an integer from 1 to 3";
-    else
-      next.call_rounds = it->get<int>();
-  }
-  if (auto it = fields.find("spot_machines"); it != fields.end() && !problem) {
-    if (!it->is_boolean())
-      problem = "spot_machines: must be true or false";
-    else
-      next.spot_machines = it->get<bool>();
-  }
-  if (!problem) p = next;
-  return problem;
+std::optional<PolicyError> Policy::apply(const Value& fields) {
+  if (!fields.is_object()) return PolicyError{"body", "must be an object"};
+  if (auto error = check_names(fields, to_json(*this))) return error;
+  Policy next = *this;
+  if (auto error = apply_numbers(next, fields)) return error;
+  if (auto error = apply_call_rounds(next, fields)) return error;
+  if (auto error = apply_spot_machines(next, fields)) return error;
+  *this = next;
+  return std::nullopt;
 }
 
 }  // namespace bendtide
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -178,12 +178,13 @@
                                    {{{"nonsense", 1}}, "nonsense"},
                                    {Value::array(), "body"}};
   for (const Case& c : cases) {
-    Policy p;
-    const auto problem = Policy::apply(p, c.fields);
-    EXPECT_EQ(problem.has_value(), c.named != nullptr) << c.fields;
-    if (problem) {
-      EXPECT_TRUE(problem->starts_with(c.named)) << *problem;
-      EXPECT_EQ(Policy::to_json(p), Policy::to_json(Policy{}));
+    Policy policy;
+    const auto error = policy.apply(c.fields);
+    EXPECT_EQ(error.has_value(), c.named != nullptr) << c.fields;
+    if (error) {
+      EXPECT_EQ(error->field, c.named);
+      EXPECT_EQ(error->text(), std::string(c.named) + ": " + error->problem);
+      EXPECT_EQ(Policy::to_json(policy), Policy::to_json(Policy{}));
     }
   }
 }
--- a/tests/recorded_cases.cpp
+++ b/tests/recorded_cases.cpp
@@ -111,7 +111,7 @@
 
 std::optional<std::string> read_and_write_policy(const Value& value) {
   Policy policy;
-  if (Policy::apply(policy, value)) return std::nullopt;
+  if (policy.apply(value)) return std::nullopt;
   return Policy::to_json(policy).dump();
 }
 
