--- a/src/core/model/user_messages.h
+++ b/src/core/model/user_messages.h
@@ -1,4 +1,4 @@
-// Answers to users, and requests of operators.
+// Replies to users, and requests of operators.
 #pragma once
 
 #include <string>
@@ -8,14 +8,15 @@
 
 namespace bendtide {
 
+/// The reply to a user's request about a job.
 struct UserReply {
-  int status = 503;
-  std::string id;
+  int status = 503;  ///< HTTP status
+  std::string id;    ///< of the job
   JobPhase phase = JobPhase::pending;
-  std::uint64_t done = 0;
-  std::uint64_t running = 0;
-  int retry_after_s = 0;
-  std::string error;
+  std::uint64_t done = 0;     ///< tasks
+  std::uint64_t running = 0;  ///< tasks
+  int retry_after_s = 0;      ///< 0: not told
+  std::string error;          ///< why the request failed; empty if it did not
 };
 
 struct AdminRequest {
