--- a/tests/late_answer_test.cpp
+++ b/tests/late_answer_test.cpp
@@ -3,7 +3,7 @@
 
 #include <gtest/gtest.h>
 
-#include "sim/hand_answered.h"
+#include "sim/jobs_fixture.h"
 #include "sim/simulated_cluster.h"
 
 namespace bendtide::sim {
@@ -15,7 +15,7 @@
 // forgotten here; then the answer to the write that had accepted it arrived. The job began anew and was done
 // in the end.
 TEST(LateAnswer, ToAnAcceptanceDoesNotBringBackACancelledJob) {
-  HandAnswered t;
+  JobsFixture t;
   t.submit();
   ASSERT_EQ(t.calls.size(), 1u);
   t.cancel();
@@ -38,10 +38,10 @@
 // The same of a job that only a peer has called over: the last write of its owner removed the award, but a
 // list that was asked for before still shows it.
 TEST(LateAnswer, WithAnAwardDoesNotBringBackAJobThatItsOwnerCallsOver) {
-  HandAnswered t;
+  JobsFixture t;
   Scheduler scheduler(t.state, t.fleet);
   ContractNet net(t.state, scheduler, {[] {}});
-  const records::Award award{"b", {{0, 1}}, {"b", HandAnswered::spec(), seconds(1'000'000)}};
+  const records::Award award{"b", {{0, 1}}, {"b", JobsFixture::spec(), seconds(1'000'000)}};
   const KeyValue entry{records::award_key("a", kTask.job, 1), records::to_json(award), 19};
   for (const bool has_ended : {true, false}) {
     if (has_ended) net.on_job_end_notice({kTask.job});
@@ -54,7 +54,7 @@
 // Found by the soak: the winner of an award read, for a repeated submission, that the job is cancelled,
 // before its owner's word came; the task placed here would have been started but for the last look at starts.
 TEST(FinalState, ThatIsReadEndsWhatWasAwardedHere) {
-  HandAnswered t;
+  JobsFixture t;
   Job& job = t.add_job();
   job.owner = "b";
   t.shard.awards_read(t.context.now, seconds(10));
@@ -71,7 +71,7 @@
 
 // A record that was asked for before the shard was taken: an earlier leader may have ended the job since.
 TEST(LateAnswer, FromBeforeThePartWasTakenIsNotActedOn) {
-  HandAnswered t;
+  JobsFixture t;
   t.cancel();
   ASSERT_EQ(t.calls.size(), 1u);
   t.shard.acquired_at = t.context.now + millis(1);
@@ -83,7 +83,7 @@
 
 // So many jobs have ended since the question that the end of this one may have been forgotten.
 TEST(LateAnswer, FromBeforeTheOldestRememberedEndIsNotActedOn) {
-  HandAnswered t;
+  JobsFixture t;
   const Micros asked = t.context.now;
   FinalStates& final_states = t.state.final_states;
   EXPECT_EQ(t.state.validity(t.shard, kTask.job, asked), Validity::current);
@@ -96,7 +96,7 @@
 
 // The second line of defence: the key-value store itself refuses a final state over another.
 TEST(FinalState, IsWrittenOnceAndTheStoredOneCounts) {
-  HandAnswered t;
+  JobsFixture t;
   Job& job = t.add_job();
   t.cancel();
   ASSERT_EQ(t.calls.size(), 1u);
@@ -119,7 +119,7 @@
 
 // The same without a violation: the first try got no answer, and was carried out.
 TEST(FinalState, OfAWriteWithoutAnswerIsFoundByTheNextTry) {
-  HandAnswered t;
+  JobsFixture t;
   t.add_job();
   t.cancel();
   t.answer(0, {});
@@ -141,7 +141,7 @@
 // Its user may have been told by a peer that read the record, before the answer to the write is here.
 TEST(Start, IsNotSentOnceItsJobMayBeOver) {
   for (const char* what : {"under way", "over", "known to be over", "awarded and in doubt"}) {
-    HandAnswered t;
+    JobsFixture t;
     Job& job = t.add_job();
     t.at<LogLine>(100.5, [&] { t.fleet.on_heartbeat(1, t.report(10, 1, 4, false)); });
     t.shard.place(t.machine(), {kTask, 7}, &job);
--- a/tests/shard_leases_test.cpp
+++ b/tests/shard_leases_test.cpp
@@ -4,7 +4,7 @@
 
 #include <gtest/gtest.h>
 
-#include "sim/hand_answered.h"
+#include "sim/jobs_fixture.h"
 
 namespace bendtide::sim {
 namespace {
@@ -15,7 +15,7 @@
 // only its answer was late, once counted under the next lease: the shard was acted for without any record.
 TEST(LateAnswer, ToATakingUnderALeaseThatHasEndedTakesNothing) {
   for (const bool lease_ends : {true, false}) {
-    HandAnswered t;
+    JobsFixture t;
     t.context.settings.peers = {{"b", "z", "b:1"}};
     ShardLeases holdings(
         t.state, t.fleet, [](Shard&) {}, [](const std::string&) {});
