--- a/src/core/controller/policy_store.cpp
+++ b/src/core/controller/policy_store.cpp
@@ -19,8 +19,8 @@
   state_.store.get(records::kPolicyKey, [this](const StoreResponse& response) {
     if (!response.ok() || response.entries.empty()) return;
     Policy policy;
-    const auto problem = Policy::apply(policy, response.entries.front().value);
-    if (!problem) state_.context.policy = policy;
+    const auto error = policy.apply(response.entries.front().value);
+    if (!error) state_.context.policy = policy;
   });
 }
 
@@ -35,9 +35,10 @@
   if (!response.ok() && response.outcome != Outcome::absent) return answer_unavailable(change);
   Policy policy;
   const Revision revision = response.entries.empty() ? Revision{} : response.entries.front().revision;
-  if (revision != 0) Policy::apply(policy, response.entries.front().value);
-  if (const auto problem = Policy::apply(policy, change.fields))
-    return state_.context.act(AnswerAdmin{change.request, 400, {{"error", *problem}}});
+  // A stored policy that can't be applied counts as the default.
+  if (revision != 0 && policy.apply(response.entries.front().value)) policy = Policy{};
+  if (const auto error = policy.apply(change.fields))
+    return state_.context.act(AnswerAdmin{change.request, 400, {{"error", error->text()}}});
   write(change, policy, revision);
 }
 
--- a/tests/recorded_cases.cpp
+++ b/tests/recorded_cases.cpp
@@ -104,14 +104,14 @@
 // ---- reading records -----------------------------------------------------------------------------
 
 template <class Record>
-std::optional<std::string> written(const std::optional<Record>& record) {
+std::optional<std::string> written(const records::ReadResult<Record>& record) {
   if (!record) return std::nullopt;
   return records::to_json(*record).dump();
 }
 
 std::optional<std::string> read_and_write_policy(const Value& value) {
   Policy policy;
-  if (Policy::apply(policy, value)) return std::nullopt;
+  if (policy.apply(value)) return std::nullopt;
   return Policy::to_json(policy).dump();
 }
 
--- a/tests/shard_leases_test.cpp
+++ b/tests/shard_leases_test.cpp
@@ -4,7 +4,7 @@
 
 #include <gtest/gtest.h>
 
-#include "sim/hand_answered.h"
+#include "sim/jobs_fixture.h"
 
 namespace bendtide::sim {
 namespace {
@@ -16,7 +16,7 @@
 // without any lease record.
 TEST(LateAnswer, ToAnAcquisitionUnderAStoreLeaseThatHasEndedAcquiresNothing) {
   for (const bool lease_ends : {true, false}) {
-    HandAnswered t;
+    JobsFixture t;
     t.context.settings.peers = {{"b", "z", "b:1"}};
     ShardLeases leases(
         t.state, t.fleet, [](Shard&) {}, [](const std::string&) {});
