--- a/src/core/placement/scheduler.cpp
+++ b/src/core/placement/scheduler.cpp
@@ -142,7 +142,7 @@
     capacity.free -= job.spec.each;
     m.idle_since = state_.now();
     // Tasks waiting for the same image share its fetch: it counts as cached from now on.
-    m.images[job.spec.image] = {state_.now(), job.spec.image_gb};
+    m.images.record_use(job.spec.image, job.spec.image_gb, state_.now());
     if (job.spec.needs_one_decider()) ++tasks_per_zone[m.zone];
     shard.request_push(m);
     if (one_at_a_time) return;
--- a/src/core/provisioning/autoscaler.cpp
+++ b/src/core/provisioning/autoscaler.cpp
@@ -159,13 +159,13 @@
 std::vector<Autoscaler::Bin> Autoscaler::future_bins(const Shard& shard) const {
   std::map<std::string, Micros> newest_up;  // of each type, by the moment of renting
   for (const auto& [name, m] : shard.machines)
-    if (m.status_received) newest_up[m.type] = std::max(newest_up[m.type], m.rented_at);
+    if (m.liveness.status_received) newest_up[m.type] = std::max(newest_up[m.type], m.rented_at);
   std::vector<Bin> bins;
   for (const auto& [name, m] : shard.machines) {
     const MachineType* type = state_.machine_type(m.type);
     if (m.decommissioned || type == nullptr) continue;
     const Offering offering{m.type, m.zone, m.spot};
-    if (m.status_received) {
+    if (m.liveness.status_received) {
       // Room that will be free before a new machine is up saves renting it.
       if (fleet_.usable(m)) bins.push_back({offering, m.released_by(state_.now() + type->boot)});
     } else if (!shard.cut_zones.contains(m.zone) && may_still_come(m, newest_up)) {
@@ -296,9 +296,9 @@
   const Micros idle = seconds(state_.context.policy.idle_return_s);
   // Kept idle for tasks that it does not suit, it could block the room in the cloud that these wait for.
   for (auto& [name, m] : shard.machines) {
-    if (m.decommissioned || !m.status_received || !m.reconciled) continue;
+    if (m.decommissioned || !m.liveness.status_received || !m.reconciled) continue;
     // Behind a cut they are idle because nothing reaches them, and will be wanted when the cut is over.
-    if (m.lease_expired || shard.cut_zones.contains(m.zone)) continue;
+    if (m.liveness.lease_expired || shard.cut_zones.contains(m.zone)) continue;
     if (!m.idle()) {
       drain_best_effort(shard, m);
       continue;
@@ -331,7 +331,7 @@
 
 void Autoscaler::decommission_stuck_machines(Shard& shard) {
   for (auto& [name, m] : shard.machines) {
-    if (m.status_received || m.decommissioned || fleet_.booting(m)) continue;
+    if (m.liveness.status_received || m.decommissioned || fleet_.booting(m)) continue;
     // Behind a cut it may have been up before we took the shard. But machines that never came up look like a
     // cut, and would keep their zone closed to renting for as long as they are kept.
     const Micros lease = state_.context.settings.worker_lease;
@@ -362,7 +362,7 @@
           return;
         }
         // The answer proves that the machines are gone, with everything on them.
-        for (const std::string& name : names) fleet_.gone(*p, name);
+        for (const std::string& name : names) fleet_.remove(*p, name);
       });
   if (!sent) return;
   for (const std::string& name : names) shard.machines.at(name).deleting = true;
--- a/src/core/state/shard.h
+++ b/src/core/state/shard.h
@@ -75,13 +75,13 @@
   std::map<std::string, Machine> machines;
   std::uint64_t starts = 0;  ///< numbers the attempts under this holding
 
-  std::vector<QueueEntry> queue;  ///< as of the last pass
-  Micros next_pass{0};            ///< a pass over everything; at once if something has changed
-  Micros next_watch{0};
-  std::map<std::string, Micros> cut_zones;  ///< whose machines can't be reached, and since when
+  std::vector<QueueEntry> queue;            ///< as of the last pass
+  Micros next_pass{0};                      ///< a pass over everything; at once if something has changed
+  Micros next_watch{0};                     ///< when to look for failed machines again
+  std::map<std::string, Micros> cut_zones;  ///< zones that can't be reached, and since when
   Micros cut_over{0};                       ///< when one of them was last reached again
   bool has_unreconciled_jobs = false;       ///< some were loaded, and not all machines are reconciled yet
-  std::vector<std::string> push;            ///< machines to be told something at once
+  std::vector<std::string> push;            ///< machines to push commands to
   std::vector<std::string> over;            ///< jobs that are ended, until nothing of them is left
   std::map<std::uint32_t, DoneSlot> done_slots;
   std::map<std::uint32_t, OwnershipBlock> ownership_blocks;
@@ -89,9 +89,15 @@
 
   bool ready() const { return stage == Stage::ready; }
   void changed() { next_pass = Micros{0}; }
-  void request_push(Machine& m) {
-    if (std::exchange(m.push_pending, true)) return;
-    push.push_back(m.name);
+  /// Commands are to be pushed to the machine with the next push_commands.
+  void request_push(Machine& machine) {
+    if (std::exchange(machine.push_pending, true)) return;
+    push.push_back(machine.name);
+  }
+  /// The job of a task; null if the shard has no such job, or the job no such task.
+  Job* job_of(const TaskId& task) {
+    const auto found = jobs.find(task.job);
+    return found == jobs.end() || task.index >= found->second.tasks.size() ? nullptr : &found->second;
   }
   /// Ended: nothing of it may start, and all of it has to go.
   void end(Job& job) {
@@ -119,47 +125,55 @@
 
   // ---- sums, kept as things change ---------------------------------------------------------------
 
-  /// Changes a placement by `f`, and all sums with it.
-  template <class F>
-  void change(Machine& m, const AttemptId& id, Placement& p, F&& f) {
-    count(m, id, p, -1);
-    f(p);
-    count(m, id, p, 1);
+  /// Changes a placement by `modify`, and all sums with it.
+  template <class Modify>
+  void change(Machine& machine, const AttemptId& id, Placement& placement, Modify&& modify) {
+    count(machine, id, placement, -1);
+    modify(placement);
+    count(machine, id, placement, 1);
   }
   /// A new placement of a task; it counts for its team, or for every team if the job is not known.
-  Placement& place(Machine& m, const AttemptId& id, Job* job) {
-    Placement& p = m.tasks[id];
-    identify(p, m, job);
-    count(m, id, p, 1);
-    return p;
-  }
-  void identify(Placement& p, const Machine& m, const Job* job) {
-    p.of_known_job = job != nullptr;
-    p.of_service = job != nullptr && job->spec.shape == Shape::service;
-    p.each = job != nullptr ? job->spec.each : m.size;
-    if (job != nullptr) p.image = job->spec.image, p.image_gb = job->spec.image_gb;
-    p.usage = job != nullptr ? &usage_[job->spec.team] : &usage_of_unknown_;
-  }
-  void remove(Machine& m, const AttemptId& id) {
-    auto it = m.tasks.find(id);
-    if (it == m.tasks.end()) return;
-    count(m, id, it->second, -1);
-    m.tasks.erase(it);
-  }
-  void set_reconciled(Machine& m, bool reconciled) {
-    if (m.reconciled == reconciled) return;
-    count_usage(m, -1);
-    m.reconciled = reconciled;
-    count_usage(m, 1);
-  }
-  /// Adds or takes away a machine, or what is on it, in the sums of the shard.
-  void count_usage(const Machine& m, int sign) {
-    if (!m.reconciled) {
-      usage_unreconciled_ += quota_of(m.size) * sign;
+  Placement& place(Machine& machine, const AttemptId& id, Job* job) {
+    Placement& placement = machine.tasks[id];
+    identify(placement, machine, job);
+    count(machine, id, placement, 1);
+    return placement;
+  }
+  /// Makes it a placement of the job, or of an unknown one if `job` is null: that takes the whole machine.
+  void identify(Placement& placement, const Machine& machine, const Job* job) {
+    placement.of_known_job = job != nullptr;
+    if (job == nullptr) {
+      placement.of_service = false;
+      placement.each = machine.size;
+      placement.usage = &usage_of_unknown_;
+      return;
+    }
+    placement.of_service = job->spec.shape == Shape::service;
+    placement.each = job->spec.each;
+    placement.image = job->spec.image;
+    placement.image_gb = job->spec.image_gb;
+    placement.usage = &usage_[job->spec.team];
+  }
+  void remove(Machine& machine, const AttemptId& id) {
+    const auto found = machine.tasks.find(id);
+    if (found == machine.tasks.end()) return;
+    count(machine, id, found->second, -1);
+    machine.tasks.erase(found);
+  }
+  void set_reconciled(Machine& machine, bool reconciled) {
+    if (machine.reconciled == reconciled) return;
+    count_usage(machine, -1);
+    machine.reconciled = reconciled;
+    count_usage(machine, 1);
+  }
+  /// Adds (sign 1) or takes away (-1) a machine and the tasks on it in the sums of the shard.
+  void count_usage(const Machine& machine, int sign) {
+    if (!machine.reconciled) {
+      usage_unreconciled_ += quota_of(machine.size) * sign;
       return;
     }
-    for (const auto& [id, p] : m.tasks)
-      if (p.takes_room()) *p.usage += quota_of(p.each) * sign;
+    for (const auto& [id, placement] : machine.tasks)
+      if (placement.takes_room()) *placement.usage += quota_of(placement.each) * sign;
   }
 
   /// What a team uses, or might: on a machine not reconciled any team may use all of it, and a task of a job
@@ -179,15 +193,15 @@
   bool sums_hold() const;
 
  private:
-  void count(Machine& m, const AttemptId& id, Placement& p, int sign) {
-    if (!p.takes_room()) return;
-    m.used += p.each * sign;
-    if (!p.wanted) m.being_released += p.each * sign;
-    if (p.of_service) m.services += sign;
-    if (m.reconciled) *p.usage += quota_of(p.each) * sign;
-    if (p.of_known_job)
-      if (auto job = jobs.find(id.task.job); job != jobs.end())
-        job->second.present += static_cast<std::uint32_t>(sign);
+  void count(Machine& machine, const AttemptId& id, const Placement& placement, int sign) {
+    if (!placement.takes_room()) return;
+    machine.used += placement.each * sign;
+    if (!placement.wanted) machine.being_released += placement.each * sign;
+    if (placement.of_service) machine.services += sign;
+    if (machine.reconciled) *placement.usage += quota_of(placement.each) * sign;
+    if (!placement.of_known_job) return;
+    if (const auto job = jobs.find(id.task.job); job != jobs.end())
+      job->second.present += static_cast<std::uint32_t>(sign);
   }
 
   std::map<std::string, Quota> usage_;  ///< on reconciled machines, by team
--- /dev/null
+++ b/src/core/workers/command_builder.cpp
@@ -0,0 +1,125 @@
+#include "core/workers/command_builder.h"
+
+namespace bendtide {
+
+namespace {
+
+/// In one message, which then stays far below the longest line of 64 KiB.
+constexpr std::size_t kCommandsPerMessage = 200;
+constexpr std::size_t kStartsPerMessage = kCommandsPerMessage / 2;
+constexpr std::size_t kStopsAndForgetsPerMessage = kCommandsPerMessage / 2;
+
+std::string_view event_of(const Shard& shard, const Command& command) {
+  switch (command.kind) {
+    case Command::Kind::start:
+      return "start";
+    case Command::Kind::stop:
+      return "stop";
+    case Command::Kind::forget:
+      break;
+  }
+  const auto job = shard.jobs.find(command.task.job);
+  const bool job_over = job == shard.jobs.end() || job->second.ended;
+  return job_over ? "forget (job over)" : "forget (end recorded)";
+}
+
+}  // namespace
+
+std::vector<Command> CommandBuilder::commands_for(Shard& shard, Machine& machine,
+                                                  std::uint64_t replied_heartbeat) {
+  std::vector<Command> forgets;
+  std::vector<Command> stops;
+  std::vector<Command> starts;
+  for (auto& [id, placement] : machine.tasks) {
+    Job* job = shard.job_of(id.task);
+    if (placement.seen == Placement::Seen::ended) {
+      if (may_be_forgotten(job, id, placement))
+        forgets.push_back({Command::Kind::forget, id.task, id.attempt, {}});
+    } else if (!placement.wanted) {
+      if (placement.seen != Placement::Seen::no) stops.push_back(stop_command(shard, job, id, placement));
+    } else if (placement.seen == Placement::Seen::no && placement.start.may_be_sent() &&
+               starts.size() < kStartsPerMessage && may_send_start(shard, job, id)) {
+      starts.push_back({Command::Kind::start, id.task, id.attempt, {}});
+      if (replied_heartbeat != 0) placement.start.sent_in_reply(replied_heartbeat);
+    }
+  }
+  std::vector<Command> commands = std::move(forgets);
+  commands.insert(commands.end(), stops.begin(), stops.end());
+  if (commands.size() > kStopsAndForgetsPerMessage) commands.resize(kStopsAndForgetsPerMessage);
+  commands.insert(commands.end(), starts.begin(), starts.end());
+  return commands;
+}
+
+/// Until its end is recorded, the worker's status is the only record of a finished task. And an attempt that
+/// a pushed start may still name must stay known to the worker, or it would run again.
+bool CommandBuilder::may_be_forgotten(const Job* job, const AttemptId& id, const Placement& placement) {
+  const bool recorded =
+      job == nullptr || job->ended || placement.cause != ExitCause::done || job->recorded[id.task.index];
+  return recorded && !placement.start.push_may_take_effect();
+}
+
+Command CommandBuilder::stop_command(const Shard& shard, const Job* job, const AttemptId& id,
+                                     Placement& placement) {
+  const Micros grace = job == nullptr ? Micros{0} : time_to_save(shard, *job);
+  if (placement.stop_requested_at == Micros{0}) placement.stop_requested_at = state_.now();
+  return {Command::Kind::stop, id.task, id.attempt, grace};
+}
+
+/// The last check of a start before it is sent: it was placed a while ago, and its job may be over since.
+/// While the last write of a job is under way, its user may have got the outcome already from a peer that
+/// read it. And an award that was last read too long ago may have been taken back: pushed commands once went
+/// out for it as an outage ended, before anything else had checked.
+bool CommandBuilder::may_send_start(Shard& shard, Job* job, const AttemptId& id) {
+  if (job == nullptr || job->ended || job->finalizing || shard.award_is_stale(*job, state_.now()))
+    return false;
+  if (!state_.final_states.has_ended(id.task.job)) return true;
+  state_.context.violated(Invariant::finished_job_stays_off, LogMessage("start of a task whose job is over")
+                                                                 .shard(shard.name)
+                                                                 .token(shard.fencing_token)
+                                                                 .job(id.task.job)
+                                                                 .task(id.task.index)
+                                                                 .attempt(id.attempt)
+                                                                 .text());
+  shard.end(*job);
+  return false;
+}
+
+/// A task that is told to stop may save, unless its job may be cancelled: then it has to be gone in time even
+/// if its machine hangs while it saves.
+Micros CommandBuilder::time_to_save(const Shard& shard, const Job& job) const {
+  const Settings& settings = state_.context.settings;
+  if (job.ended || job.spec.checkpoint.count() == 0) return {};
+  const Micros at_most = surely_over(std::max(settings.worker_lease, job.spec.save));
+  const bool in_time =
+      job.owner.empty() || state_.now() + at_most <= shard.awards_read_at + settings.cancel_within;
+  return in_time ? job.spec.save : Micros{0};
+}
+
+std::vector<Command> CommandBuilder::stops_for_unknown_tasks(const Shard& shard, const Heartbeat& heartbeat) {
+  std::vector<Command> stops;
+  for (const TaskStatus& status : heartbeat.tasks)
+    if (status.phase != TaskPhase::exited && !shard.jobs.contains(status.task.job) &&
+        stops.size() < kStopsAndForgetsPerMessage)
+      stops.push_back({Command::Kind::stop, status.task, status.attempt, {}});
+  return stops;
+}
+
+void CommandBuilder::log(const Shard& shard, const Machine& machine, const std::vector<Command>& commands,
+                         std::uint64_t replied_heartbeat) const {
+  if (!state_.context.debugging) return;
+  for (const Command& command : commands) {
+    state_.context.debug([&] {
+      LogMessage message(event_of(shard, command));
+      message.shard(shard.name).token(shard.fencing_token).job(command.task.job);
+      message.task(command.task.index).attempt(command.attempt).machine(machine.name);
+      message.detail("incarnation", machine.liveness.incarnation);
+      if (replied_heartbeat == 0)
+        message.detail("sent", "pushed");
+      else
+        message.detail("heartbeat", replied_heartbeat);
+      return message;
+    });
+  }
+}
+
+}  // namespace bendtide
--- /dev/null
+++ b/src/core/workers/failure_detector.cpp
@@ -0,0 +1,156 @@
+#include "core/workers/failure_detector.h"
+
+namespace bendtide {
+
+namespace {
+
+/// A zone may be cut off for that many of its workers' leases before its machines are given up.
+constexpr int kCutLeases = 8;
+/// A quarantined machine is decommissioned once it has been idle for that long.
+constexpr Micros kQuarantinedIdle = seconds(3);
+constexpr Micros kHeartbeatSlack = millis(500);
+constexpr Micros kBootSlack = seconds(5);
+
+/// Machines of a zone that ought to send heartbeats, and those among them that don't.
+struct ZoneCount {
+  std::size_t expected = 0;
+  std::size_t silent = 0;
+  bool mostly_silent() const { return silent > 1 && silent * 2 > expected; }
+};
+
+/// Whether its worker may hold a lease, as it has reported or may run tasks.
+bool may_hold_lease(const Machine& machine) {
+  return machine.liveness.status_received || !machine.tasks.empty();
+}
+
+}  // namespace
+
+bool FailureDetector::sent_after(Micros sent_at) const {
+  return state_.now() - sent_at >= Settings::kWorkerPatience;
+}
+
+/// A cut may swallow one push and delay the heartbeats that follow it. But the machine gets another push as
+/// soon as a heartbeat arrives: if that is lost too, and the next heartbeat comes, nothing reaches it.
+void FailureDetector::count_lost_push(Shard& shard, Machine& machine) {
+  if (!machine.acknowledgements.take_push_lost()) return;
+  shard.request_push(machine);
+  if (machine.acknowledgements.count_lost_push())
+    add_missed_acknowledgement(shard, machine, Acknowledgements::kStrongEvidence);
+}
+
+void FailureDetector::add_missed_acknowledgement(Shard& shard, Machine& machine, int weight) {
+  machine.acknowledgements.add_missed(weight);
+  shard.request_push(machine);
+}
+
+bool FailureDetector::usable(const Machine& machine) const {
+  const Micros now = state_.now();
+  const Liveness& liveness = machine.liveness;
+  return liveness.status_received && machine.reconciled && machine.in_use && !liveness.lease_expired &&
+         !machine.decommissioned && !machine.quarantined && !machine.preemption_notice_until &&
+         !machine.acknowledgements.doubtful() && now >= machine.cordoned_until &&
+         // Commands may reach a machine whose heartbeats don't arrive, but they do not renew its lease.
+         now - liveness.last_contact() <= state_.context.settings.heartbeat_interval * 2 + kHeartbeatSlack;
+}
+
+bool FailureDetector::booting(const Machine& machine) const {
+  const MachineType* type = state_.machine_type(machine.type);
+  return type == nullptr || state_.context.wall - machine.rented_at <= type->boot * 5 / 2 + kBootSlack;
+}
+
+void FailureDetector::check(Shard& shard) {
+  const Micros lease = surely_over(state_.context.settings.worker_lease);
+  for (auto& [name, machine] : shard.machines) {
+    check_lease(shard, machine, lease);
+    if (machine.quarantined && machine.idle() && state_.now() - machine.idle_since > kQuarantinedIdle)
+      machine.decommissioned = true;
+    trim_images(machine);
+  }
+  // A cut is to be noticed before the first machine has been silent for long enough to be deleted.
+  check_zones(shard);
+  decommission_failed(shard);
+}
+
+void FailureDetector::check_lease(Shard& shard, Machine& machine, Micros lease) {
+  if (state_.now() <= machine.liveness.last_reply_at + lease) return;
+  if (may_hold_lease(machine) && !machine.liveness.lease_expired) expire_lease(shard, machine);
+  if (!machine.liveness.status_received) shard.set_reconciled(machine, true);
+}
+
+/// Nobody renewed its lease: the worker has killed and forgotten everything. Its next incarnation has begun:
+/// a delayed heartbeat of the old one would bring back tasks that are gone.
+void FailureDetector::expire_lease(Shard& shard, Machine& machine) {
+  machine.liveness.lease_expired = true;
+  shard.set_reconciled(machine, true);
+  machine.begin_incarnation(machine.liveness.incarnation + 1);
+  if (!machine.tasks.empty())
+    state_.context.info(LogMessage("worker lease expired")
+                            .shard(shard.name)
+                            .machine(machine.name)
+                            .why("silent for the whole of it"));
+  tasks_.release_all(shard, machine);
+}
+
+void FailureDetector::trim_images(Machine& machine) const {
+  const MachineType* type = state_.machine_type(machine.type);
+  if (type != nullptr) machine.images.trim(type->cache_gb);
+}
+
+/// If most machines of a zone are silent, then the way there is cut, or it is we who are cut off: they are
+/// not deleted for it, as they will be back at once. Only when that lasts, they are given up.
+void FailureDetector::check_zones(Shard& shard) {
+  const Micros longest_pause = state_.context.settings.longest_heartbeat_pause();
+  std::map<std::string, ZoneCount> zones;
+  for (const auto& [name, machine] : shard.machines) {
+    if (machine.decommissioned || (!machine.liveness.status_received && booting(machine))) continue;
+    ZoneCount& count = zones[machine.zone];
+    ++count.expected;
+    if (state_.now() - machine.liveness.last_heartbeat_at > longest_pause) ++count.silent;
+  }
+  // With no machine left there, nothing would ever show that the zone can be reached again.
+  std::erase_if(shard.cut_zones, [&](const auto& cut) { return !zones.contains(cut.first); });
+  for (const auto& [zone, count] : zones) {
+    if (count.mostly_silent())
+      on_zone_silent(shard, zone);
+    else
+      on_zone_heard(shard, zone);
+  }
+}
+
+void FailureDetector::on_zone_silent(Shard& shard, const std::string& zone) const {
+  const auto cut = shard.cut_zones.find(zone);
+  if (cut == shard.cut_zones.end()) {
+    state_.context.info(LogMessage("zone unreachable").shard(shard.name).zone(zone));
+    shard.cut_zones[zone] = state_.now();
+  } else if (state_.now() - cut->second > state_.context.settings.worker_lease * kCutLeases) {
+    shard.cut_zones.erase(cut);
+  }
+}
+
+void FailureDetector::on_zone_heard(Shard& shard, const std::string& zone) const {
+  if (shard.cut_zones.erase(zone) == 0) return;
+  state_.context.info(LogMessage("zone reachable again").shard(shard.name).zone(zone));
+  shard.cut_over = state_.now();
+  shard.changed();
+}
+
+void FailureDetector::decommission_failed(Shard& shard) {
+  const Micros heartbeat_interval = state_.context.settings.heartbeat_interval;
+  const Micros longest_silence =
+      seconds(state_.context.policy.silence_reports * in_seconds(heartbeat_interval) * 1.25) + seconds(1);
+  for (auto& [name, machine] : shard.machines) {
+    const bool unreachable = machine.acknowledgements.unreachable();
+    const bool silent = may_hold_lease(machine) &&
+                        state_.now() - machine.liveness.last_contact() > longest_silence &&
+                        !shard.cut_zones.contains(machine.zone);
+    if (machine.decommissioned || !(unreachable || silent)) continue;
+    machine.decommissioned = true;
+    state_.context.info(
+        LogMessage("machine decommissioned")
+            .shard(shard.name)
+            .machine(name)
+            .why(unreachable ? "it sends heartbeats but acknowledges nothing" : "it is silent"));
+  }
+}
+
+}  // namespace bendtide
--- a/src/core/workers/fleet.h
+++ b/src/core/workers/fleet.h
@@ -1,107 +1,108 @@
-// Machines and what is on them: heartbeats in, commands out, and the proofs that a task is off a machine.
+// The machines of the shards that are led here: heartbeats in, commands out.
+//
+//   HeartbeatRouter   finds the leader for a heartbeat
+//   Fleet             applies the statuses of own machines, replies, and pushes commands
+//   TaskTracker       what becomes of the tasks on a machine
+//   CommandBuilder    which commands a machine needs
+//   WorkerCalls       pushed commands and probes whose response is awaited
+//   FailureDetector   which machines have failed
 #pragma once
 
 #include "core/ownership/machine_ownership.h"
+#include "core/workers/command_builder.h"
+#include "core/workers/failure_detector.h"
+#include "core/workers/heartbeat_router.h"
+#include "core/workers/task_tracker.h"
+#include "core/workers/worker_calls.h"
 
 namespace bendtide {
 
 class Fleet {
  public:
   struct Hooks {
-    std::function<void(Shard&, Machine&)> fill;  ///< place on it what waits and fits
-    std::function<void()> invalidate_leases;
+    std::function<void(Shard&, Machine&)> fill;  ///< place waiting tasks that fit on the machine
+    std::function<void()> invalidate_leases;     ///< read the lease records again
   };
 
   Fleet(ControllerState& state, Hooks hooks);
 
   void tick();
   void on_heartbeat(std::uint64_t request, const Heartbeat& heartbeat);
-  void on_command_response(std::uint64_t call, const CommandResponse& answer);
+  void on_command_response(std::uint64_t call, const CommandResponse& response);
   void on_shard_ready(Shard& shard);
-  /// What the holder of a shard knows of its machines that are silent, for the next one.
+  void on_shard_lost(const std::string& shard) { ownership_.on_shard_lost(shard); }
+
+  /// What the leader of a shard knows of its silent machines, for the next leader.
   std::vector<UnreachableMachine> unreachable_machines(const Shard& shard) const;
-  /// The last leader's word on machines that we may never hear.
+  /// Takes over what the last leader knew of machines that we may never hear.
   void restore_unreachable_machines(Shard& shard);
-  void on_shard_lost(const std::string& shard) { ownership_.on_shard_lost(shard); }
 
-  /// Whether a worker can be reached: no order has fencing token and incarnation 0, and it says what it
-  /// holds.
-  void probe(const std::string& address, std::function<void(bool)> done);
+  /// Calls `done` with whether the worker can be reached.
+  void probe(const std::string& address, WorkerCalls::ProbeCallback done);
   /// Sends the commands that should not wait for the next heartbeat.
   void push_commands(Shard& shard);
-  /// The machine and everything on it are gone.
-  void gone(Shard& shard, const std::string& machine);
 
-  /// Settled: nothing unknown can be on it.
+  /// Adds a machine that the shard owns. `reconciled`: no unknown task can be on it.
   Machine& add(Shard& shard, const Machine& machine, bool reconciled);
-  bool usable(const Machine& m) const;
-  bool booting(const Machine& m) const;
+  /// Removes a machine that was deleted, with everything on it.
+  void remove(Shard& shard, const std::string& machine);
+  /// Whether tasks may be placed on the machine now.
+  bool usable(const Machine& machine) const { return failures_.usable(machine); }
+  /// Whether the machine may still be on its way up.
+  bool booting(const Machine& machine) const { return failures_.booting(machine); }
   MachineOwnership& ownership() { return ownership_; }
 
  private:
-  struct Deferred {
-    std::uint64_t request;
-    Heartbeat heartbeat;
-    Micros since;
-  };
-  struct PushInFlight {
-    std::string shard;
-    std::uint64_t leadership_term;
-    std::string machine;
-    FencingToken fencing_token;
-    Micros sent_at;
-    std::vector<AttemptId> starts;
+  /// What a reply to a heartbeat was to lead to, and whether the next heartbeat shows that it did.
+  struct ReplyEffect {
+    bool expected = false;
+    bool seen = false;
   };
 
-  void on_unclaimed(std::uint64_t request, const Heartbeat& heartbeat, Micros since);
-  /// Answers a heartbeat, or keeps it for later; `since`: when it came.
-  void route_heartbeat(std::uint64_t request, const Heartbeat& heartbeat, Micros since);
-  void defer(std::uint64_t request, const Heartbeat& heartbeat, Micros since);
+  // ---- heartbeats of own machines (fleet_heartbeats.cpp) -------------------------------------------
+
   void on_own_heartbeat(std::uint64_t request, Shard& shard, const Heartbeat& heartbeat);
-  void apply(Shard& shard, Machine& m, const Heartbeat& heartbeat, bool is_heartbeat);
-  bool believable(const Shard& shard, const Heartbeat& heartbeat) const;
-  bool was_sent_after(Micros ours) const;
-  void note_lost_pushes(Shard& shard, Machine& m);
-  static void clear_missed_acknowledgements(Machine& m);
-  void add_missed_acknowledgement(Shard& shard, Machine& m, int weight);
-  void note(Shard& shard, Machine& m, const TaskStatus& seen, std::uint64_t sequence_number);
-  void ended(Shard& shard, Machine& m, const AttemptId& id, Placement& p, ExitCause cause);
-  void failed(Shard& shard, Machine& m, Job& job);
-  void release(Shard& shard, Machine& m, const AttemptId& id);
-  void release_all(Shard& shard, Machine& m);
-  std::vector<Command> commands(Shard& shard, Machine& m, std::uint64_t in_heartbeat);
-  bool may_send_start(Shard& shard, Job* job, const AttemptId& id);
-  void log_commands(const Shard& shard, const Machine& m, const std::vector<Command>& sent,
-                    const std::string& how) const;
-  std::vector<Command> stops_for_unknown_tasks(const Shard& shard, const Heartbeat& heartbeat) const;
-  Micros time_to_save(const Shard& shard, const Job& job) const;
-  void begin_incarnation(Machine& m, std::uint64_t incarnation);
-  bool urgent(const Machine& m) const;
-  std::size_t push_limit() const;
-  void watch(Shard& shard);
-  void watch_zones(Shard& shard, Micros late);
-  void trim_images(Machine& m) const;
-  void resume_deferred();
-  void answer(std::uint64_t request, int status, std::string redirect = {});
-
-  /// That many signs in a row show that nothing reaches a machine. One answer may always come too late.
-  static constexpr int kMissedAcknowledgementLimit = 3;
-  static constexpr int kWeakEvidence = 1;                  ///< one message seems not to have reached it
-  static constexpr int kStrongEvidence = 2;                ///< several can't have
-  static constexpr std::size_t kHandoverTaskLimit = 1500;  ///< tasks in a word to the next leader
-  static constexpr std::size_t kFailedOn = 8;
-  static constexpr std::size_t kRememberedDeleted = 4096;
-  static constexpr std::size_t kCommandsPerMessage = 200;  ///< in one message: far below a line of 64 KiB
+  Machine* accept_heartbeat(Shard& shard, const Heartbeat& heartbeat);
+  void judge_unacknowledged_token(Shard& shard, Machine& machine, const Heartbeat& heartbeat);
+  std::vector<Command> reply_to_status(Shard& shard, Machine& machine, const Heartbeat& heartbeat,
+                                       Micros previous_reply_at);
+  std::vector<Command> reply_to_untrusted(Shard& shard, Machine& machine, const Heartbeat& heartbeat);
+  void judge_short_incarnation(Shard& shard, Machine& machine, const Heartbeat& heartbeat,
+                               Micros previous_reply_at);
+
+  // ---- statuses, in heartbeats or responses (fleet_statuses.cpp) -----------------------------------
+
+  enum class StatusSource : std::uint8_t { heartbeat, command_response };
+  static bool is_trusted(const Shard& shard, const Heartbeat& status);
+  void begin_incarnation(Machine& machine, std::uint64_t incarnation) const;
+  void apply_status(Shard& shard, Machine& machine, const Heartbeat& status, StatusSource source);
+  void apply_incarnation(Shard& shard, Machine& machine, const Heartbeat& status);
+  void mark_up(Shard& shard, Machine& machine);
+  void apply_preemption_notice(const Shard& shard, Machine& machine, const Heartbeat& status) const;
+  static void apply_fencing_token(Machine& machine, FencingToken token);
+  static ReplyEffect reply_effect(const Machine& machine, const Heartbeat& status);
+  void release_absent_tasks(Shard& shard, Machine& machine, std::uint64_t sequence_number);
+  void judge_reply_effect(Shard& shard, Machine& machine, const ReplyEffect& effect) const;
+
+  // ---- pushed commands (fleet_pushes.cpp) ----------------------------------------------------------
+
+  static bool needs_push(const Machine& machine);
+  bool may_push_to(const Machine& machine) const;
+  void push_commands_to(Shard& shard, Machine& machine);
+  void on_push_response(const WorkerCalls::Push& push, const CommandResponse& response);
+  static void on_push_lost(Shard& shard, Machine& machine, const WorkerCalls::Push& push);
+  void apply_response_status(Shard& shard, Machine& machine, const CommandResponse& response);
+
+  void finish_reconciliation(Shard& shard);
 
   ControllerState& state_;
   Hooks hooks_;
   MachineOwnership ownership_;
-  std::vector<Deferred> deferred_;  ///< heartbeats that wait for a claim or for the shard
-  std::set<std::string> deleted_;   ///< lately: a late copy of their heartbeats brings none back
-  std::deque<std::string> deleted_order_;
-  std::map<std::uint64_t, PushInFlight> pushes_in_flight_;
-  std::map<std::uint64_t, std::function<void(bool)>> probes_;
-  std::uint64_t next_push_ = 1;
+  HeartbeatRouter router_;
+  TaskTracker tasks_;
+  CommandBuilder commands_;
+  WorkerCalls calls_;
+  FailureDetector failures_;
 };
 
 }  // namespace bendtide
--- a/src/core/workers/fleet_handover.cpp
+++ b/src/core/workers/fleet_handover.cpp
@@ -1,41 +1,54 @@
-// What one holder of a shard tells the next about machines that are silent.
+// What one leader of a shard passes to the next about machines that are silent.
 #include "core/workers/fleet.h"
 
 namespace bendtide {
 
+namespace {
+
+constexpr std::size_t kHandoverLimit = 1500;  ///< machines and tasks in one message
+
+/// The tasks that may take resources of the machine.
+std::vector<TaskStatus> statuses_of(const Machine& machine) {
+  std::vector<TaskStatus> statuses;
+  for (const auto& [id, placement] : machine.tasks) {
+    if (!placement.takes_room()) continue;
+    const bool saving = placement.seen == Placement::Seen::saving;
+    statuses.push_back({id.task, id.attempt, saving ? TaskPhase::saving : TaskPhase::running, {}});
+  }
+  return statuses;
+}
+
+}  // namespace
+
 std::vector<UnreachableMachine> Fleet::unreachable_machines(const Shard& shard) const {
-  std::vector<UnreachableMachine> out;
-  std::size_t tasks = 0;
   const Micros now = state_.now();
-  for (const auto& [name, m] : shard.machines) {
-    if (!m.reconciled || !m.in_use ||
-        now - m.last_status_at <= state_.context.settings.heartbeat_interval * 5 / 4)
-      continue;
-    if ((tasks += 1 + m.tasks.size()) > kHandoverTaskLimit) break;
-    UnreachableMachine& s =
-        out.emplace_back(UnreachableMachine{name, now - m.last_status_at, now - m.last_reply_at, {}});
-    for (const auto& [id, p] : m.tasks)
-      if (p.takes_room())
-        s.tasks.push_back({id.task,
-                           id.attempt,
-                           p.seen == Placement::Seen::saving ? TaskPhase::saving : TaskPhase::running,
-                           {}});
+  const Micros longest_pause = state_.context.settings.heartbeat_interval * 5 / 4;
+  std::vector<UnreachableMachine> unreachable;
+  std::size_t size = 0;
+  for (const auto& [name, machine] : shard.machines) {
+    const Liveness& liveness = machine.liveness;
+    if (!machine.reconciled || !machine.in_use || now - liveness.last_status_at <= longest_pause) continue;
+    size += 1 + machine.tasks.size();
+    if (size > kHandoverLimit) break;
+    unreachable.push_back(
+        {name, now - liveness.last_status_at, now - liveness.last_reply_at, statuses_of(machine)});
   }
-  return out;
+  return unreachable;
 }
 
 /// They are as if they had just reported: reconciled, and what may be on them is placed there until it is
-/// proved to be off. The last leader did nothing with the shard after it said so, and we took it over its
-/// very record.
+/// proved to be off. The last leader did nothing with the shard after it sent this, and we took the shard
+/// over from the very lease record that it wrote.
 void Fleet::restore_unreachable_machines(Shard& shard) {
-  for (const UnreachableMachine& s : std::exchange(shard.handover, {})) {
-    auto it = shard.machines.find(s.machine);
-    if (it == shard.machines.end()) continue;
-    Machine& m = it->second;
-    for (const TaskStatus& t : s.tasks) note(shard, m, t, 0);
-    m.last_status_at = m.last_heartbeat_at = shard.acquired_at - s.status_ago;
-    m.last_reply_at = shard.acquired_at - s.reply_ago;
-    shard.set_reconciled(m, true);
+  for (const UnreachableMachine& unreachable : std::exchange(shard.handover, {})) {
+    const auto found = shard.machines.find(unreachable.machine);
+    if (found == shard.machines.end()) continue;
+    Machine& machine = found->second;
+    for (const TaskStatus& status : unreachable.tasks) tasks_.apply_status(shard, machine, status, 0);
+    machine.liveness.last_status_at = shard.acquired_at - unreachable.status_ago;
+    machine.liveness.last_heartbeat_at = shard.acquired_at - unreachable.status_ago;
+    machine.liveness.last_reply_at = shard.acquired_at - unreachable.reply_ago;
+    shard.set_reconciled(machine, true);
   }
 }
 
--- a/src/wire/wire.cpp
+++ b/src/wire/wire.cpp
@@ -128,7 +128,7 @@
                                       {"flushing", TaskPhase::saving},
                                       {"ended", TaskPhase::exited}};
 const Table<ExitCause> kCauses = {{"done", ExitCause::done},    {"halted", ExitCause::stopped},
-                                  {"error", ExitCause::failed}, {"full", ExitCause::no_room},
+                                  {"error", ExitCause::failed}, {"full", ExitCause::insufficient_resources},
                                   {"in_use", ExitCause::busy},  {"unknown", ExitCause::unknown}};
 const Table<Command::Kind> kVerbs = {
     {"run", Command::Kind::start}, {"kill", Command::Kind::stop}, {"clear", Command::Kind::forget}};
--- a/tests/late_answer_test.cpp
+++ b/tests/late_answer_test.cpp
@@ -143,7 +143,7 @@
   for (const char* what : {"under way", "over", "known to be over", "awarded and in doubt"}) {
     HandAnswered t;
     Job& job = t.add_job();
-    t.at<LogLine>(100.5, [&] { t.fleet.on_heartbeat(1, t.report(10, 1, 4, false)); });
+    t.at<LogLine>(100.5, [&] { t.fleet.on_heartbeat(1, t.heartbeat(10, 1, 4, false)); });
     t.shard.place(t.machine(), {kTask, 7}, &job);
     job.leave_waiting(0, {Task::State::placed, &t.machine(), 7});
     const std::string now = what;
@@ -155,11 +155,11 @@
     }
     if (now == "known to be over") t.state.final_states.record_final(kTask.job, {}, t.context.now);
     const auto answers =
-        t.at<AnswerHeartbeat>(102, [&] { t.fleet.on_heartbeat(2, t.report(10, 1, 5, false)); });
+        t.at<AnswerHeartbeat>(102, [&] { t.fleet.on_heartbeat(2, t.heartbeat(10, 1, 5, false)); });
     ASSERT_EQ(answers.size(), 1u);
     EXPECT_TRUE(answers[0].reply.commands.empty()) << what;
     t.machine().push_in_flight = false;
-    t.machine().lost_pushes = 1;  // so that it is asked directly
+    t.machine().acknowledgements.count_lost_push();  // so that commands are pushed to it
     t.shard.request_push(t.machine());
     const auto calls = t.at<WorkerCall>(102.1, [&] { t.fleet.push_commands(t.shard); });
     ASSERT_EQ(calls.size(), 1u);
--- a/tests/machine_test.cpp
+++ b/tests/machine_test.cpp
@@ -1,5 +1,5 @@
-// Event by event, what one shard believes of a machine and what it answers: the proofs on which the rules
-// rest.
+// Event by event, what the leader of a shard concludes of one machine and what it replies: the proofs on
+// which the rules rest.
 
 #include <gtest/gtest.h>
 
@@ -8,22 +8,23 @@
 namespace bendtide::sim {
 namespace {
 
-// Each answer renews the lease. Holders that followed one another once kept a cancelled job's tasks alive, as
-// each had ended before the worker reported a second time.
-TEST(FirstAnswer, StopsWhatThePartDoesNotHave) {
+// Each reply renews the lease. Leaders that followed one another once kept a cancelled job's tasks alive, as
+// each had ended before the worker's second heartbeat.
+TEST(FirstReply, StopsTasksOfUnknownJobs) {
   HeldShard t;
-  const auto answers = t.at<AnswerHeartbeat>(101, [&] { t.fleet.on_heartbeat(1, t.report(5, 1, 4, true)); });
-  ASSERT_EQ(answers.size(), 1u);
-  EXPECT_EQ(answers[0].reply.status, 200);
-  ASSERT_EQ(answers[0].reply.commands.size(), 1u);
-  EXPECT_EQ(answers[0].reply.commands[0].kind, Command::Kind::stop);
-  EXPECT_EQ(answers[0].reply.commands[0].task, kTask);
-  EXPECT_EQ(answers[0].reply.commands[0].attempt, 7u);
+  const auto replies =
+      t.at<AnswerHeartbeat>(101, [&] { t.fleet.on_heartbeat(1, t.heartbeat(5, 1, 4, true)); });
+  ASSERT_EQ(replies.size(), 1u);
+  EXPECT_EQ(replies[0].reply.status, 200);
+  ASSERT_EQ(replies[0].reply.commands.size(), 1u);
+  EXPECT_EQ(replies[0].reply.commands[0].kind, Command::Kind::stop);
+  EXPECT_EQ(replies[0].reply.commands[0].task, kTask);
+  EXPECT_EQ(replies[0].reply.commands[0].attempt, 7u);
 
   HeldShard with_job;
   with_job.add_job();
   const auto kept = with_job.at<AnswerHeartbeat>(
-      101, [&] { with_job.fleet.on_heartbeat(1, with_job.report(5, 1, 4, true)); });
+      101, [&] { with_job.fleet.on_heartbeat(1, with_job.heartbeat(5, 1, 4, true)); });
   ASSERT_EQ(kept.size(), 1u);
   EXPECT_TRUE(kept[0].reply.commands.empty());
 }
@@ -31,88 +32,87 @@
 // A worker that reaches no controller begins a new incarnation in which commands still reach it. Its tasks
 // were once given up, and started elsewhere, a lease after the shard was taken, while they ran on for the
 // rest of theirs.
-TEST(MuteMachine, IsNotGivenUpBeforeTheLeaseOfItsSessionIsOver) {
+TEST(WorkerWithoutController, KeepsItsTasksUntilTheLeaseOfItsIncarnationIsOver) {
   HeldShard t;
   Job& job = t.add_job();
-  t.orders_answered(108, 1, CommandResponse::Outcome::refused, t.report(10, 2, 1, false));
-  t.orders_answered(108, 2, CommandResponse::Outcome::executed, t.report(10, 2, 3, true));
+  t.on_response(108, 1, CommandResponse::Outcome::refused, t.heartbeat(10, 2, 1, false));
+  t.on_response(108, 2, CommandResponse::Outcome::executed, t.heartbeat(10, 2, 3, true));
   ASSERT_EQ(job.tasks[0].state, Task::State::placed);
   t.at<LogLine>(113, [&] { t.fleet.tick(); });
-  EXPECT_EQ(job.tasks[0].state, Task::State::placed) << "the session's lease goes on until 120 s";
+  EXPECT_EQ(job.tasks[0].state, Task::State::placed) << "the lease of the incarnation goes on until 120 s";
   t.at<LogLine>(121, [&] { t.fleet.tick(); });
   EXPECT_EQ(job.tasks[0].state, Task::State::waiting);
 }
 
-// What a cut held back comes all at once, and is one sign of deafness. One that goes on without our fencing
-// token is deaf.
-TEST(HeldReports, AreOneSignOfDeafness) {
+// What a cut delayed comes all at once, and is one piece of evidence that nothing reaches the machine. A
+// machine that goes on without our fencing token is unreachable.
+TEST(DelayedHeartbeats, AreOnePieceOfEvidence) {
   HeldShard t;
   t.at<LogLine>(111, [&] {
-    t.fleet.on_heartbeat(1, t.report(5, 1, 4, false));
-    t.fleet.on_heartbeat(2, t.report(5, 1, 5, false));
-    t.fleet.on_heartbeat(3, t.report(5, 1, 6, false));
+    t.fleet.on_heartbeat(1, t.heartbeat(5, 1, 4, false));
+    t.fleet.on_heartbeat(2, t.heartbeat(5, 1, 5, false));
+    t.fleet.on_heartbeat(3, t.heartbeat(5, 1, 6, false));
     t.fleet.tick();
   });
   EXPECT_FALSE(t.machine().decommissioned);
   t.at<LogLine>(116, [&] {
-    t.fleet.on_heartbeat(4, t.report(5, 1, 7, false));
+    t.fleet.on_heartbeat(4, t.heartbeat(5, 1, 7, false));
     t.fleet.tick();
   });
   EXPECT_TRUE(t.machine().decommissioned);
 }
 
-// A cut swallows a pushed commands and holds the heartbeats that follow it: all of that was sent before
-// anything of ours could have reached the worker. It once added up to a machine that is deleted though it is
-// well.
-TEST(HeldReports, AndTheOrderLostInTheSameCutAreNoSignOfDeafness) {
+// A cut swallows a push and delays the heartbeats that follow it: all of that was sent before anything of
+// ours could have reached the worker. It once added up to a machine that is deleted though it is well.
+TEST(DelayedHeartbeats, AndThePushLostInTheSameCutAreNoEvidence) {
   HeldShard t;
   t.shard.set_reconciled(t.machine(), true);
   t.at<LogLine>(101.5, [&] { t.fleet.on_command_response(1, {CommandResponse::Outcome::unknown, {}}); });
   t.at<LogLine>(111, [&] {
     for (std::uint64_t sequence_number = 4; sequence_number < 9; ++sequence_number)
-      t.fleet.on_heartbeat(sequence_number, t.report(5, 1, sequence_number, false));
+      t.fleet.on_heartbeat(sequence_number, t.heartbeat(5, 1, sequence_number, false));
     t.fleet.tick();
   });
-  EXPECT_EQ(t.machine().missed_acknowledgements, 0);
+  EXPECT_EQ(t.machine().acknowledgements.missed(), 0);
   EXPECT_FALSE(t.machine().decommissioned);
 }
 
-// Reports that were held together say nothing of the start that the first one was answered with.
-TEST(HeldReports, DoNotShowThatAStartWasNotTakenUp) {
-  for (const auto& [next_report_at, signs] : {std::pair(101.1, 0), std::pair(106.0, 1)}) {
+// Heartbeats that were delayed together show nothing of the start in the reply to the first one.
+TEST(DelayedHeartbeats, DoNotShowThatAStartWasLost) {
+  for (const auto& [next_heartbeat_at, evidence] : {std::pair(101.1, 0), std::pair(106.0, 1)}) {
     HeldShard t;
     Job& job = t.add_job();
-    t.at<LogLine>(100.5, [&] { t.fleet.on_heartbeat(1, t.report(10, 1, 4, false)); });
+    t.at<LogLine>(100.5, [&] { t.fleet.on_heartbeat(1, t.heartbeat(10, 1, 4, false)); });
     t.shard.place(t.machine(), {kTask, 7}, &job);
     job.leave_waiting(0, {Task::State::placed, &t.machine(), 7});
-    t.at<LogLine>(101, [&] { t.fleet.on_heartbeat(2, t.report(10, 1, 5, false)); });
-    t.at<LogLine>(next_report_at, [&] { t.fleet.on_heartbeat(3, t.report(10, 1, 6, false)); });
-    EXPECT_EQ(t.machine().missed_acknowledgements, signs) << next_report_at;
+    t.at<LogLine>(101, [&] { t.fleet.on_heartbeat(2, t.heartbeat(10, 1, 5, false)); });
+    t.at<LogLine>(next_heartbeat_at, [&] { t.fleet.on_heartbeat(3, t.heartbeat(10, 1, 6, false)); });
+    EXPECT_EQ(t.machine().acknowledgements.missed(), evidence) << next_heartbeat_at;
   }
 }
 
-// The machine is asked again as soon as it reports. Only an order lost then as well is a sign.
-TEST(LostOrders, AreASignOfDeafnessOnceReportsCameInBetween) {
+// The machine gets another push as soon as its heartbeat comes. Only a push lost then as well is evidence.
+TEST(LostPushes, AreEvidenceOnceHeartbeatsCameInBetween) {
   HeldShard t;
-  t.at<LogLine>(101, [&] { t.fleet.on_heartbeat(4, t.report(10, 1, 4, false)); });
+  t.at<LogLine>(101, [&] { t.fleet.on_heartbeat(4, t.heartbeat(10, 1, 4, false)); });
   std::uint64_t call = 1;
   for (const auto& step : {std::pair(107.0, 0), std::pair(112.0, 2)}) {
     const double moment = step.first;
-    const int signs = step.second;
+    const int evidence = step.second;
     t.at<LogLine>(moment - 4, [&] {
       t.fleet.on_command_response(call, {CommandResponse::Outcome::unknown, {}});
     });
     const auto calls = t.at<WorkerCall>(moment, [&] {
-      t.fleet.on_heartbeat(call, t.report(10, 1, static_cast<std::uint64_t>(moment), false));
+      t.fleet.on_heartbeat(call, t.heartbeat(10, 1, static_cast<std::uint64_t>(moment), false));
       t.fleet.push_commands(t.shard);
     });
-    EXPECT_EQ(t.machine().missed_acknowledgements, signs) << moment;
+    EXPECT_EQ(t.machine().acknowledgements.missed(), evidence) << moment;
     ASSERT_EQ(calls.size(), 1u) << moment;
     call = calls[0].call;
   }
   t.at<LogLine>(117, [&] {
     t.fleet.on_command_response(call, {CommandResponse::Outcome::unknown, {}});
-    t.fleet.on_heartbeat(call, t.report(10, 1, 117, false));
+    t.fleet.on_heartbeat(call, t.heartbeat(10, 1, 117, false));
     t.fleet.tick();
   });
   EXPECT_TRUE(t.machine().decommissioned);
@@ -120,7 +120,7 @@
 
 // A leader whose term was renewed after an outage once started, and kept alive, what was awarded to it
 // before: the job had been cancelled meanwhile.
-TEST(AwardsInDoubt, AreNeitherStartedNorKeptAlive) {
+TEST(StaleAwards, AreNeitherStartedNorKeptAlive) {
   HeldShard t;
   Scheduler scheduler(t.state, t.fleet);
   ContractNet net(t.state, scheduler, {[] {}});
@@ -131,17 +131,17 @@
   EXPECT_TRUE(t.shard.may_start(job, seconds(109)));
   EXPECT_FALSE(t.shard.may_start(job, seconds(110)));
 
-  t.at<AnswerHeartbeat>(105, [&] { t.fleet.on_heartbeat(1, t.report(10, 1, 4, true)); });
+  t.at<AnswerHeartbeat>(105, [&] { t.fleet.on_heartbeat(1, t.heartbeat(10, 1, 4, true)); });
   ASSERT_EQ(job.tasks[0].state, Task::State::placed);
   for (const auto& step : {std::pair(109.0, 0u), std::pair(111.0, 1u)}) {
     const double moment = step.first;
     const unsigned stops = step.second;
-    const auto answers = t.at<AnswerHeartbeat>(moment, [&] {
+    const auto replies = t.at<AnswerHeartbeat>(moment, [&] {
       net.stop_stale_awards(t.shard, t.machine());
-      t.fleet.on_heartbeat(2, t.report(10, 1, static_cast<std::uint64_t>(moment), true));
+      t.fleet.on_heartbeat(2, t.heartbeat(10, 1, static_cast<std::uint64_t>(moment), true));
     });
-    ASSERT_EQ(answers.size(), 1u);
-    EXPECT_EQ(answers[0].reply.commands.size(), stops) << moment;
+    ASSERT_EQ(replies.size(), 1u);
+    EXPECT_EQ(replies[0].reply.commands.size(), stops) << moment;
   }
 }
 
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -23,7 +23,7 @@
   Machine& add_machine(const std::string& name, bool spot = false) {
     Machine& m = fleet.add(shard, machine_from({name, "small", "z", spot, name + ":1", context.wall}), true);
     m.size = {8000, 0, 64000};
-    m.status_received = true;
+    m.liveness.status_received = true;
     return m;
   }
   Machine& add_booting(const std::string& name, Micros rented_ago) {
@@ -135,7 +135,7 @@
   t.rented();
   EXPECT_TRUE(m.tasks.begin()->second.wanted) << "something may come yet";
   t.context.now += seconds(30);
-  m.last_status_at = m.last_heartbeat_at = t.context.now;
+  m.liveness.last_status_at = m.liveness.last_heartbeat_at = t.context.now;
   t.rented();
   EXPECT_FALSE(m.tasks.begin()->second.wanted);
 }
--- a/tests/sim/held_shard.h
+++ b/tests/sim/held_shard.h
@@ -1,4 +1,4 @@
-// One part of one controller, without any cluster round it: events go in by hand, actions are looked at.
+// One shard of one controller, without a cluster around it: a test feeds it events, and checks its actions.
 #pragma once
 
 #include "core/jobs/jobs.h"
@@ -8,21 +8,21 @@
 
 inline const TaskId kTask{"run-1", 0};
 
-/// A shard taken a moment ago with fencing token 10, whose one machine was in use by an earlier leader.
+/// A shard acquired a moment ago with fencing token 10, whose one machine was in use under an earlier leader.
 struct HeldShard {
   static Settings settings() {
-    Settings s;
-    s.host = "a";
-    s.heartbeat_interval = seconds(1.5);
-    s.worker_lease = seconds(12);
-    s.cancel_within = seconds(42);
-    s.sockets = 100;
-    s.cloud_calls_per_s = 100;
-    s.store_requests_per_s = 100;
-    s.store_writes_per_s = 60;
-    s.store_transaction_writes = 12;
-    s.store_value_bytes = 8 * 1024;
-    return s;
+    Settings settings;
+    settings.host = "a";
+    settings.heartbeat_interval = seconds(1.5);
+    settings.worker_lease = seconds(12);
+    settings.cancel_within = seconds(42);
+    settings.sockets = 100;
+    settings.cloud_calls_per_s = 100;
+    settings.store_requests_per_s = 100;
+    settings.store_writes_per_s = 60;
+    settings.store_transaction_writes = 12;
+    settings.store_value_bytes = 8 * 1024;
+    return settings;
   }
 
   Context context{settings(), {}, "life", std::mt19937_64(1), seconds(100), seconds(1'000'000), {}, {}};
@@ -36,8 +36,8 @@
     shard.fencing_token = shard.first_fencing_token = 10;
     shard.leadership_term = 1;
     shard.acquired_at = context.now;
-    const std::vector<records::OwnedMachine> claimed{{"m", "small", "z", false, "m:1", {}}};
-    fleet.ownership().load(shard, {{records::ownership_key("a", 0), records::to_json(claimed), 3}});
+    const std::vector<records::OwnedMachine> owned{{"m", "small", "z", false, "m:1", {}}};
+    fleet.ownership().load(shard, {{records::ownership_key("a", 0), records::to_json(owned), 3}});
     shard.stage = Shard::Stage::ready;
     fleet.on_shard_ready(shard);
     fleet.push_commands(shard);
@@ -52,27 +52,29 @@
     return Jobs::load(shard, record);
   }
   Machine& machine() { return shard.machines.at("m"); }
-  Heartbeat report(std::uint64_t fencing_token, std::uint64_t incarnation, std::uint64_t sequence_number,
-                   bool with_task) const {
-    Heartbeat r{"m", "m:1", "small", "z", false, incarnation, sequence_number, fencing_token, {}, {}};
-    if (with_task) r.tasks = {{kTask, 7, TaskPhase::running, ExitCause::none}};
-    return r;
+  Heartbeat heartbeat(std::uint64_t fencing_token, std::uint64_t incarnation, std::uint64_t sequence_number,
+                      bool with_task) const {
+    Heartbeat heartbeat{"m", "m:1", "small", "z", false, incarnation, sequence_number, fencing_token, {}, {}};
+    if (with_task) heartbeat.tasks = {{kTask, 7, TaskPhase::running, ExitCause::none}};
+    return heartbeat;
   }
-  /// Does something at a moment; what it led to of one kind.
+  /// Calls `event` at a moment of the steady clock, in seconds; returns the actions of one kind that it led
+  /// to.
   template <class Kind>
-  std::vector<Kind> at(double moment, const std::function<void()>& what) {
+  std::vector<Kind> at(double moment, const std::function<void()>& event) {
     context.now = seconds(moment);
     context.actions.clear();
-    what();
-    std::vector<Kind> out;
+    event();
+    std::vector<Kind> actions;
     for (const Action& action : context.actions)
-      if (auto* a = std::get_if<Kind>(&action)) out.push_back(*a);
-    return out;
+      if (auto* of_kind = std::get_if<Kind>(&action)) actions.push_back(*of_kind);
+    return actions;
   }
-  void orders_answered(double moment, std::uint64_t call, CommandResponse::Outcome outcome,
-                       const Heartbeat& report) {
+  /// The response to a command request comes, and commands that it calls for are pushed.
+  void on_response(double moment, std::uint64_t call, CommandResponse::Outcome outcome,
+                   const Heartbeat& status) {
     at<LogLine>(moment, [&] {
-      fleet.on_command_response(call, {outcome, report});
+      fleet.on_command_response(call, {outcome, status});
       fleet.push_commands(shard);
     });
   }
--- a/tests/sim/services.cpp
+++ b/tests/sim/services.cpp
@@ -389,7 +389,7 @@
   else if (busy)
     held = {TaskPhase::exited, ExitCause::busy, now};
   else if (!(used + job->each).fits_in(type_.size))
-    held = {TaskPhase::exited, ExitCause::no_room, now};
+    held = {TaskPhase::exited, ExitCause::insufficient_resources, now};
   else
     held.until = images_.contains(job->image) ? now : now + seconds(job->image_gb / type_.fetch_gb_per_s);
   tasks_[{task, attempt}] = held;
--- a/tests/sim/simulated_cluster.cpp
+++ b/tests/sim/simulated_cluster.cpp
@@ -295,8 +295,8 @@
     void operator()(LogLine& a) {
       if (a.level == LogLevel::error) ++d.seen_["errors in the log"];
       if (a.text.starts_with("took part")) ++d.seen_["parts taken"];
-      if (a.text.ends_with("is silent for its whole lease")) ++d.seen_["leases over"];
-      if (a.text.find("takes up nothing") != std::string::npos) ++d.seen_["machines called deaf"];
+      if (a.text.find("worker lease expired") != std::string::npos) ++d.seen_["leases over"];
+      if (a.text.find("acknowledges nothing") != std::string::npos) ++d.seen_["machines called deaf"];
       if (d.plan_.verbose)
         std::printf("%9.3f %s %s\n", in_seconds(d.now_), node.host.c_str(), a.text.c_str());
     }
