--- a/src/core/state/shard.h
+++ b/src/core/state/shard.h
@@ -11,6 +11,7 @@
 #include "core/model/peer_messages.h"
 #include "core/state/job.h"
 #include "core/state/machine.h"
+#include "core/state/ownership_block.h"
 
 namespace bendtide {
 
@@ -32,15 +33,6 @@
   bool outcome_unknown = false;  ///< a write without answer: its stamp has to be read
 };
 
-/// One record of machines that belong to the shard.
-struct OwnershipBlock {
-  Revision revision = 0;
-  bool dirty = false;            ///< machines of it are gone
-  bool urgent = false;           ///< machines of it came up, and are to be used
-  bool writing = false;          ///< a write is under way
-  bool outcome_unknown = false;  ///< a write without answer
-};
-
 struct Shard {
   enum class Stage : std::uint8_t { loading, ready };
   std::string name;
