--- a/src/core/controller/overview.cpp
+++ b/src/core/controller/overview.cpp
@@ -49,8 +49,8 @@
                       m.liveness.status_received ? in_seconds(state.now() - m.liveness.last_status_at) : 0.0},
                      {"settled", m.reconciled},
                      {"lease_over", m.liveness.lease_expired},
-                     {"quarantined", m.quarantined},
-                     {"being_deleted", m.decommissioned},
+                     {"quarantined", m.lifecycle.quarantined},
+                     {"being_deleted", m.lifecycle.decommissioned},
                      {"tasks", m.tasks.size()},
                      {"free_cpus", units(m.free().cpu)}});
     }
--- a/src/core/leases/shard_leases.cpp
+++ b/src/core/leases/shard_leases.cpp
@@ -74,7 +74,7 @@
     return false;
   std::size_t up = 0;
   for (const auto& [name, m] : shard.machines) {
-    if (m.decommissioned || (!m.liveness.status_received && fleet_.booting(m))) continue;
+    if (m.lifecycle.decommissioned || (!m.liveness.status_received && fleet_.booting(m))) continue;
     // A deaf machine's heartbeats come too: it is not us who can't hear, and no peer would do better.
     if (m.liveness.last_heartbeat_at > since) return false;
     ++up;
--- a/src/core/model/worker_messages.h
+++ b/src/core/model/worker_messages.h
@@ -15,7 +15,7 @@
 enum class TaskPhase : std::uint8_t {
   fetching,  ///< the image of its job
   running,
-  saving,  ///< its state, as it was told to stop
+  saving,  ///< its state, after a stop command
   exited   ///< for the reason in ExitCause
 };
 
--- a/src/core/placement/scheduler.cpp
+++ b/src/core/placement/scheduler.cpp
@@ -86,7 +86,7 @@
   for (const auto& [name, m] : shard.machines)
     for (auto it = m.tasks.lower_bound(AttemptId{{job.spec.id, 0}, 0});
          it != m.tasks.end() && it->first.task.job == job.spec.id; ++it)
-      if (it->second.takes_room()) ++out[m.zone];
+      if (it->second.takes_resources()) ++out[m.zone];
   return out;
 }
 
@@ -198,7 +198,7 @@
     if (job.spec.each.fits_in(m.free())) return false;  // it goes there without any of this
     for (const auto& [id, p] : m.tasks) {
       auto other = shard.jobs.find(id.task.job);
-      if (p.wanted && p.takes_room() && other != shard.jobs.end() &&
+      if (p.wanted && p.takes_resources() && other != shard.jobs.end() &&
           other->second.spec.priority < job.spec.priority && other->second.spec.save <= kStopDuration)
         could += p.each;
     }
@@ -353,7 +353,7 @@
     std::vector<std::pair<const AttemptId*, Placement*>> victims;
     for (auto& [id, p] : r.machine->tasks) {
       auto it = shard.jobs.find(id.task.job);
-      if (p.wanted && p.takes_room() && it != shard.jobs.end() && may_stop(it->second))
+      if (p.wanted && p.takes_resources() && it != shard.jobs.end() && may_stop(it->second))
         victims.emplace_back(&id, &p);
     }
     std::sort(victims.begin(), victims.end(), [&](const auto& a, const auto& b) {
--- a/src/core/provisioning/autoscaler.cpp
+++ b/src/core/provisioning/autoscaler.cpp
@@ -163,7 +163,7 @@
   std::vector<Bin> bins;
   for (const auto& [name, m] : shard.machines) {
     const MachineType* type = state_.machine_type(m.type);
-    if (m.decommissioned || type == nullptr) continue;
+    if (m.lifecycle.decommissioned || type == nullptr) continue;
     const Offering offering{m.type, m.zone, m.spot};
     if (m.liveness.status_received) {
       // Room that will be free before a new machine is up saves renting it.
@@ -296,7 +296,7 @@
   const Micros idle = seconds(state_.context.policy.idle_return_s);
   // Kept idle for tasks that it does not suit, it could block the room in the cloud that these wait for.
   for (auto& [name, m] : shard.machines) {
-    if (m.decommissioned || !m.liveness.status_received || !m.reconciled) continue;
+    if (m.lifecycle.decommissioned || !m.liveness.status_received || !m.reconciled) continue;
     // Behind a cut they are idle because nothing reaches them, and will be wanted when the cut is over.
     if (m.liveness.lease_expired || shard.cut_zones.contains(m.zone)) continue;
     if (!m.idle()) {
@@ -304,7 +304,7 @@
       continue;
     }
     if (now - m.idle_since < idle || state_.context.wall - m.rented_at < kLeastPaid) continue;
-    m.decommissioned = true;
+    m.lifecycle.decommissioned = true;
     state_.context.debug([&m = m] { return "machine " + m.name + " is idle: it is returned"; });
   }
 }
@@ -314,7 +314,7 @@
   const Settings& settings = state_.context.settings;
   for (const auto& [id, p] : m.tasks) {
     auto job = shard.jobs.find(id.task.job);
-    if (p.wanted && p.takes_room() && job != shard.jobs.end() && settings.best_effort(job->second.spec))
+    if (p.wanted && p.takes_resources() && job != shard.jobs.end() && settings.best_effort(job->second.spec))
       continue;
     m.needed_at = state_.now();
     return;
@@ -331,14 +331,14 @@
 
 void Autoscaler::decommission_stuck_machines(Shard& shard) {
   for (auto& [name, m] : shard.machines) {
-    if (m.liveness.status_received || m.decommissioned || fleet_.booting(m)) continue;
+    if (m.liveness.status_received || m.lifecycle.decommissioned || fleet_.booting(m)) continue;
     // Behind a cut it may have been up before we took the shard. But machines that never came up look like a
     // cut, and would keep their zone closed to renting for as long as they are kept.
     const Micros lease = state_.context.settings.worker_lease;
     const Micros patience = shard.cut_zones.contains(m.zone) ? lease * 3 / 2 : lease;
     // When the zone can be reached again, all its workers have a lease's time to say so.
     if (state_.now() - std::max(shard.acquired_at, shard.cut_over) > patience) {
-      m.decommissioned = true;
+      m.lifecycle.decommissioned = true;
       state_.context.info("machine " + name + " does not come up: it is deleted");
     }
   }
@@ -347,7 +347,7 @@
 void Autoscaler::delete_decommissioned_machines(Shard& shard) {
   DeleteMachines request;
   for (auto& [name, m] : shard.machines)
-    if (m.decommissioned && !m.deleting && request.machines.size() < kNamesPerDelete)
+    if (m.lifecycle.decommissioned && !m.lifecycle.deleting && request.machines.size() < kNamesPerDelete)
       request.machines.push_back(name);
   if (request.machines.empty()) return;
   const std::vector<std::string> names = request.machines;
@@ -358,14 +358,15 @@
         if (p == nullptr) return;
         if (!a.ok()) {
           for (const std::string& name : names)
-            if (auto it = p->machines.find(name); it != p->machines.end()) it->second.deleting = false;
+            if (auto it = p->machines.find(name); it != p->machines.end())
+              it->second.lifecycle.deleting = false;
           return;
         }
         // The answer proves that the machines are gone, with everything on them.
         for (const std::string& name : names) fleet_.remove(*p, name);
       });
   if (!sent) return;
-  for (const std::string& name : names) shard.machines.at(name).deleting = true;
+  for (const std::string& name : names) shard.machines.at(name).lifecycle.deleting = true;
 }
 
 void Autoscaler::adopt_orphaned_machines(Shard& shard) {
--- a/src/core/state/machine.h
+++ b/src/core/state/machine.h
@@ -14,6 +14,7 @@
 #include "core/state/acknowledgements.h"
 #include "core/state/image_cache.h"
 #include "core/state/liveness.h"
+#include "core/state/machine_lifecycle.h"
 #include "core/state/start_delivery.h"
 
 namespace bendtide {
@@ -42,14 +43,14 @@
   double image_gb = 0;
   Micros placed_at{0};
   Micros running_since{0};
-  Micros stop_requested_at{0};  ///< when its worker was first told to stop it; 0: not yet
+  Micros stop_requested_at{0};  ///< when a stop was first sent; 0: not yet
   StartDelivery start;
 
   /// Whether it takes resources of its machine.
-  bool takes_room() const { return seen != Seen::ended; }
+  bool takes_resources() const { return seen != Seen::ended; }
 };
 
-/// Times are of the steady clock unless they say otherwise.
+/// Times are of the steady clock unless noted otherwise.
 struct Machine {
   std::string name;
   std::string address;
@@ -58,23 +59,19 @@
   bool spot = false;
   Resources size;
   Resources used;            ///< by tasks that take resources
-  Resources being_released;  ///< the share of it whose tasks are already told to stop
-  int services = 0;          ///< tasks among them that run until they are cancelled
+  Resources being_released;  ///< by those of them that are no longer wanted
+  int services = 0;          ///< number of the tasks that run until they are cancelled
   Micros rented_at{0};       ///< wall clock
   std::uint32_t ownership_block = 0;
   bool in_use = false;  ///< its ownership record names its address: only then may anything be started on it
 
   Liveness liveness;
   Acknowledgements acknowledgements;
+  MachineLifecycle lifecycle;
   bool reconciled = false;  ///< its tasks are all known: a status has come, or its lease ran out
-  std::optional<Micros> preemption_notice_until;
-  bool decommissioned = false;  ///< to be deleted; nothing is placed on it any more
-  bool deleting = false;        ///< the call that deletes it is under way
   Micros idle_since{0};
   Micros needed_at{0};                ///< when it last had anything that is not best-effort
   std::set<std::string> failed_jobs;  ///< whose tasks failed on it since its last success
-  bool quarantined = false;           ///< taken to be faulty: nothing is placed on it any more
-  Micros cordoned_until{0};           ///< nothing is placed on it before
   bool push_in_flight = false;        ///< a command request to it is under way
   bool push_pending = false;          ///< it is in the shard's list of machines to push commands to
   std::map<AttemptId, Placement> tasks;
@@ -87,11 +84,11 @@
     liveness.begin_incarnation(number);
     acknowledgements.forget_reply();
   }
-  /// Resources of tasks that were told to stop, or are expected to end by `when`.
+  /// Resources of tasks that are no longer wanted, or are expected to end by `when`.
   Resources released_by(Micros when) const {
     Resources released;
     for (const auto& [id, placement] : tasks)
-      if (placement.takes_room() && (!placement.wanted || placement.ends_at <= when))
+      if (placement.takes_resources() && (!placement.wanted || placement.ends_at <= when))
         released += placement.each;
     return released;
   }
--- a/src/core/state/shard.cpp
+++ b/src/core/state/shard.cpp
@@ -11,7 +11,7 @@
     int services = 0;
     if (!m.reconciled) unreconciled += quota_of(m.size);
     for (const auto& [id, p] : m.tasks) {
-      if (!p.takes_room()) continue;
+      if (!p.takes_resources()) continue;
       used += p.each;
       if (!p.wanted) being_released += p.each;
       if (p.of_service) ++services;
--- a/src/core/state/shard.h
+++ b/src/core/state/shard.h
@@ -165,7 +165,7 @@
       return;
     }
     for (const auto& [id, placement] : machine.tasks)
-      if (placement.takes_room()) *placement.usage += quota_of(placement.each) * sign;
+      if (placement.takes_resources()) *placement.usage += quota_of(placement.each) * sign;
   }
 
   /// What a team uses, or might: on a machine not reconciled any team may use all of it, and a task of a job
@@ -186,7 +186,7 @@
 
  private:
   void count(Machine& machine, const AttemptId& id, const Placement& placement, int sign) {
-    if (!placement.takes_room()) return;
+    if (!placement.takes_resources()) return;
     machine.used += placement.each * sign;
     if (!placement.wanted) machine.being_released += placement.each * sign;
     if (placement.of_service) machine.services += sign;
--- a/src/core/state/start_delivery.h
+++ b/src/core/state/start_delivery.h
@@ -41,7 +41,7 @@
   bool may_be_sent() const { return pushes_in_flight_ == 0; }
   /// Whether a push of it may yet be executed.
   bool push_may_take_effect() const { return pushes_in_flight_ > 0 || unsettled_token_ != 0; }
-  /// Whether nothing that was sent may have started the task. Pushes in flight are not looked at.
+  /// Whether nothing that was sent may have started the task. Pushes in flight are not considered.
   bool unsent() const { return replied_heartbeat_ == 0 && unsettled_token_ == 0; }
   bool was_pushed() const { return pushed_token_ != 0; }
   bool was_in_reply_to(std::uint64_t heartbeat) const { return replied_heartbeat_ == heartbeat; }
--- a/src/core/workers/failure_detector.cpp
+++ b/src/core/workers/failure_detector.cpp
@@ -47,8 +47,7 @@
   const Micros now = state_.now();
   const Liveness& liveness = machine.liveness;
   return liveness.status_received && machine.reconciled && machine.in_use && !liveness.lease_expired &&
-         !machine.decommissioned && !machine.quarantined && !machine.preemption_notice_until &&
-         !machine.acknowledgements.doubtful() && now >= machine.cordoned_until &&
+         machine.lifecycle.accepts_tasks(now) && !machine.acknowledgements.doubtful() &&
          // Commands may reach a machine whose heartbeats don't arrive, but they do not renew its lease.
          now - liveness.last_contact() <= state_.context.settings.heartbeat_interval * 2 + kHeartbeatSlack;
 }
@@ -62,8 +61,9 @@
   const Micros lease = surely_over(state_.context.settings.worker_lease);
   for (auto& [name, machine] : shard.machines) {
     check_lease(shard, machine, lease);
-    if (machine.quarantined && machine.idle() && state_.now() - machine.idle_since > kQuarantinedIdle)
-      machine.decommissioned = true;
+    if (machine.lifecycle.quarantined && machine.idle() &&
+        state_.now() - machine.idle_since > kQuarantinedIdle)
+      machine.lifecycle.decommissioned = true;
     trim_images(machine);
   }
   // A cut is to be noticed before the first machine has been silent for long enough to be deleted.
@@ -102,7 +102,7 @@
   const Micros longest_pause = state_.context.settings.longest_heartbeat_pause();
   std::map<std::string, ZoneCount> zones;
   for (const auto& [name, machine] : shard.machines) {
-    if (machine.decommissioned || (!machine.liveness.status_received && booting(machine))) continue;
+    if (machine.lifecycle.decommissioned || (!machine.liveness.status_received && booting(machine))) continue;
     ZoneCount& count = zones[machine.zone];
     ++count.expected;
     if (state_.now() - machine.liveness.last_heartbeat_at > longest_pause) ++count.silent;
@@ -143,8 +143,8 @@
     const bool silent = may_hold_lease(machine) &&
                         state_.now() - machine.liveness.last_contact() > longest_silence &&
                         !shard.cut_zones.contains(machine.zone);
-    if (machine.decommissioned || !(unreachable || silent)) continue;
-    machine.decommissioned = true;
+    if (machine.lifecycle.decommissioned || !(unreachable || silent)) continue;
+    machine.lifecycle.decommissioned = true;
     state_.context.info(
         LogMessage("machine decommissioned")
             .shard(shard.name)
--- a/src/core/workers/fleet_handover.cpp
+++ b/src/core/workers/fleet_handover.cpp
@@ -11,7 +11,7 @@
 std::vector<TaskStatus> statuses_of(const Machine& machine) {
   std::vector<TaskStatus> statuses;
   for (const auto& [id, placement] : machine.tasks) {
-    if (!placement.takes_room()) continue;
+    if (!placement.takes_resources()) continue;
     const bool saving = placement.seen == Placement::Seen::saving;
     statuses.push_back({id.task, id.attempt, saving ? TaskPhase::saving : TaskPhase::running, {}});
   }
--- a/src/core/workers/fleet_pushes.cpp
+++ b/src/core/workers/fleet_pushes.cpp
@@ -11,14 +11,14 @@
   return std::any_of(machine.tasks.begin(), machine.tasks.end(), [](const auto& entry) {
     const Placement& placement = entry.second;
     if (placement.wanted) return placement.seen == Placement::Seen::no && placement.start.unsent();
-    return placement.takes_room() && placement.seen != Placement::Seen::no &&
+    return placement.takes_resources() && placement.seen != Placement::Seen::no &&
            placement.stop_requested_at == Micros{0};
   });
 }
 
 /// A silent machine gets its commands with the reply to its next heartbeat.
 bool Fleet::may_push_to(const Machine& machine) const {
-  if (machine.push_in_flight || machine.liveness.lease_expired || machine.decommissioned ||
+  if (machine.push_in_flight || machine.liveness.lease_expired || machine.lifecycle.decommissioned ||
       machine.address.empty())
     return false;
   const Micros silence = state_.now() - machine.liveness.last_status_at;
--- a/src/core/workers/fleet_statuses.cpp
+++ b/src/core/workers/fleet_statuses.cpp
@@ -60,9 +60,9 @@
 
 void Fleet::apply_preemption_notice(const Shard& shard, Machine& machine, const Heartbeat& status) const {
   if (!status.preemption_notice) return;
-  if (!machine.preemption_notice_until)
+  if (!machine.lifecycle.preemption_notice_until)
     state_.context.info(LogMessage("preemption notice").shard(shard.name).machine(machine.name));
-  machine.preemption_notice_until = state_.now() + *status.preemption_notice;
+  machine.lifecycle.preemption_notice_until = state_.now() + *status.preemption_notice;
 }
 
 /// What our last reply was to lead to: a higher fencing token in the status, and the attempts that it
--- a/src/core/workers/task_tracker.cpp
+++ b/src/core/workers/task_tracker.cpp
@@ -99,7 +99,7 @@
       break;
     case ExitCause::insufficient_resources:
     case ExitCause::busy:
-      machine.cordoned_until = state_.now() + kCordonAfterRefusal;
+      machine.lifecycle.cordoned_until = state_.now() + kCordonAfterRefusal;
       break;
     case ExitCause::unknown:
       job->retry_at = state_.now() + kRetryAfterUnknownEnd;
@@ -145,13 +145,13 @@
     return;
   }
   machine.failed_jobs.insert(job.spec.id);
-  if (machine.failed_jobs.size() >= kFailedJobsToQuarantine && !machine.quarantined)
+  if (machine.failed_jobs.size() >= kFailedJobsToQuarantine && !machine.lifecycle.quarantined)
     quarantine(shard, machine);
 }
 
 /// Nothing more is placed on it, and its failures no longer count against the jobs.
 void TaskTracker::quarantine(Shard& shard, Machine& machine) {
-  machine.quarantined = true;
+  machine.lifecycle.quarantined = true;
   state_.context.info(LogMessage("machine quarantined")
                           .shard(shard.name)
                           .machine(machine.name)
--- a/tests/machine_test.cpp
+++ b/tests/machine_test.cpp
@@ -54,12 +54,12 @@
     t.fleet.on_heartbeat(3, t.heartbeat(5, 1, 6, false));
     t.fleet.tick();
   });
-  EXPECT_FALSE(t.machine().decommissioned);
+  EXPECT_FALSE(t.machine().lifecycle.decommissioned);
   t.at<LogLine>(116, [&] {
     t.fleet.on_heartbeat(4, t.heartbeat(5, 1, 7, false));
     t.fleet.tick();
   });
-  EXPECT_TRUE(t.machine().decommissioned);
+  EXPECT_TRUE(t.machine().lifecycle.decommissioned);
 }
 
 // A cut swallows a push and delays the heartbeats that follow it: all of that was sent before anything of
@@ -74,7 +74,7 @@
     t.fleet.tick();
   });
   EXPECT_EQ(t.machine().acknowledgements.missed(), 0);
-  EXPECT_FALSE(t.machine().decommissioned);
+  EXPECT_FALSE(t.machine().lifecycle.decommissioned);
 }
 
 // Heartbeats that were delayed together show nothing of the start in the reply to the first one.
@@ -115,7 +115,7 @@
     t.fleet.on_heartbeat(call, t.heartbeat(10, 1, 117, false));
     t.fleet.tick();
   });
-  EXPECT_TRUE(t.machine().decommissioned);
+  EXPECT_TRUE(t.machine().lifecycle.decommissioned);
 }
 
 // A leader whose term was renewed after an outage once started, and kept alive, what was awarded to it
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -167,7 +167,7 @@
                                          {"given up", false, 120, 1}}) {
     RentingPart t;
     t.add_booting("n-1", seconds(c.overdue_by_s));
-    if (c.other_came_up) t.add_machine("n-2").quarantined = true;  // it takes nothing itself
+    if (c.other_came_up) t.add_machine("n-2").lifecycle.quarantined = true;  // it takes nothing itself
     t.add("run-1", "t", Shape::array, Priority::normal, 2);
     t.pass();
     EXPECT_EQ(t.rented().size(), c.rented) << c.what;
