--- a/src/core/controller/overview.cpp
+++ b/src/core/controller/overview.cpp
@@ -46,12 +46,12 @@
            {"type", machine.type},
            {"zone", machine.zone},
            {"spot", machine.spot},
-           {"up", machine.status_received},
-           {"silent_s", machine.status_received ? in_seconds(state.now() - machine.last_status_at) : 0.0},
+           {"up", machine.liveness.status_received},
+           {"silent_s", machine.liveness.status_received ? in_seconds(state.now() - machine.liveness.last_status_at) : 0.0},
            {"settled", machine.reconciled},
-           {"lease_over", machine.lease_expired},
-           {"quarantined", machine.quarantined},
-           {"being_deleted", machine.decommissioned},
+           {"lease_over", machine.liveness.lease_expired},
+           {"quarantined", machine.lifecycle.quarantined},
+           {"being_deleted", machine.lifecycle.decommissioned},
            {"tasks", machine.tasks.size()},
            {"free_cpus", in_units(machine.free().cpu)}});
     }
--- a/src/core/leases/peer_health.cpp
+++ b/src/core/leases/peer_health.cpp
@@ -37,9 +37,9 @@
   if (transfers_.received_within(shard.name, state_.context.settings.worker_lease * 2)) return false;
   std::size_t up = 0;
   for (const auto& [name, machine] : shard.machines) {
-    if (machine.decommissioned || (!machine.status_received && fleet_.booting(machine))) continue;
+    if (machine.lifecycle.decommissioned || (!machine.liveness.status_received && fleet_.booting(machine))) continue;
     // The heartbeats of a machine that takes no commands arrive, too: no peer would do better with it.
-    if (machine.last_heartbeat_at > since) return false;
+    if (machine.liveness.last_heartbeat_at > since) return false;
     ++up;
   }
   return up > 1;
--- a/src/core/placement/placer.cpp
+++ b/src/core/placement/placer.cpp
@@ -22,7 +22,7 @@
   for (const auto& [name, machine] : shard.machines) {
     auto attempt = machine.tasks.lower_bound(AttemptId{{job.spec.id, 0}, 0});
     for (; attempt != machine.tasks.end() && attempt->first.task.job == job.spec.id; ++attempt)
-      if (attempt->second.takes_room()) ++count[machine.zone];
+      if (attempt->second.takes_resources()) ++count[machine.zone];
   }
   return count;
 }
@@ -99,7 +99,7 @@
   });
   machine.idle_since = state_.now();
   // Tasks waiting for the same image share its fetch: it counts as cached from now on.
-  machine.images[job.spec.image] = {state_.now(), job.spec.image_gb};
+  machine.images.record_use(job.spec.image, job.spec.image_gb, state_.now());
   shard.request_push(machine);
 }
 
--- a/src/core/placement/preemption.cpp
+++ b/src/core/placement/preemption.cpp
@@ -14,7 +14,7 @@
 /// A task that saves little or nothing is gone this long after the decision to stop it.
 constexpr Micros kQuickStop = seconds(4);
 
-bool can_be_stopped(const Placement& placement) { return placement.wanted && placement.takes_room(); }
+bool can_be_stopped(const Placement& placement) { return placement.wanted && placement.takes_resources(); }
 
 /// Preemption for one job of the queue.
 class JobPreemption {
--- a/src/core/provisioning/demand.cpp
+++ b/src/core/provisioning/demand.cpp
@@ -22,7 +22,7 @@
 DemandEstimate::NewestUp DemandEstimate::newest_up(const Shard& shard) {
   NewestUp newest;
   for (const auto& [name, machine] : shard.machines)
-    if (machine.status_received) newest[machine.type] = std::max(newest[machine.type], machine.rented_at);
+    if (machine.liveness.status_received) newest[machine.type] = std::max(newest[machine.type], machine.rented_at);
   return newest;
 }
 
@@ -40,9 +40,9 @@
   std::vector<Bin> bins;
   for (const auto& [name, machine] : shard.machines) {
     const MachineType* type = state_.machine_type(machine.type);
-    if (machine.decommissioned || type == nullptr) continue;
+    if (machine.lifecycle.decommissioned || type == nullptr) continue;
     const Offering offering{machine.type, machine.zone, machine.spot};
-    if (machine.status_received) {
+    if (machine.liveness.status_received) {
       if (fleet_.usable(machine)) bins.push_back({offering, machine.released_by(state_.now() + type->boot)});
     } else if (!shard.cut_zones.contains(machine.zone) && may_still_come(machine, *type, newest)) {
       bins.push_back({offering, machine.size});
