--- a/src/core/controller/controller.cpp
+++ b/src/core/controller/controller.cpp
@@ -228,7 +228,7 @@
   }
   shard.has_unreconciled_jobs = true;
   net_.load_awards(shard, awards, asked);
-  net_.load_progress(shard, done, true);
+  ContractNet::load_progress(shard, done);
   fleet_.restore_unreachable_machines(shard);
   shard.awards_read(shard.acquired_at, context_.settings.lease_term());
   load_quota_allocation(shard);
--- a/src/core/controller/overview.cpp
+++ b/src/core/controller/overview.cpp
@@ -79,8 +79,8 @@
 }
 
 Value negotiations(const ContractNet& net) {
-  const ContractNet::Counters& c = net.counters();
-  return {{"open", net.open()},
+  const NegotiationCounters& c = net.counters();
+  return {{"open", net.open_calls()},
           {"calls", c.calls},
           {"rounds", c.rounds},
           {"awards", c.awards},
--- a/src/core/model/resources.h
+++ b/src/core/model/resources.h
@@ -60,6 +60,11 @@
   }
 };
 
+/// The same amounts, with none below zero.
+inline Quota at_least_zero(const Quota& quota) {
+  return {std::max<std::int64_t>(0, quota.cpu), std::max<std::int64_t>(0, quota.gpu)};
+}
+
 inline Quota quota_of(const Resources& r) { return {r.cpu, r.gpu}; }
 
 /// Above all that can ever be used, and far from an overflow.
--- /dev/null
+++ b/src/core/negotiation/award_reader.cpp
@@ -0,0 +1,216 @@
+#include "core/negotiation/award_reader.h"
+
+#include <algorithm>
+#include <cstdlib>
+
+namespace bendtide {
+
+namespace {
+
+constexpr Micros kReadEvery = seconds(2);
+/// Progress notices that come close together lead to one read.
+constexpr Micros kReadAfterNotice = millis(150);
+
+bool is_awarded_by_us(const Job& job) { return !job.awards.empty() && job.owner.empty(); }
+
+/// The tasks of an award that `job` has.
+std::vector<std::uint32_t> tasks_of(const records::Award& award, const Job& job) {
+  std::vector<std::uint32_t> tasks;
+  for (const auto& [first, count] : award.ranges)
+    for (std::uint32_t task = first; task < first + count && task < job.tasks.size(); ++task)
+      tasks.push_back(task);
+  return tasks;
+}
+
+/// A job of another shard, none of whose tasks is here yet.
+Job job_of_award(const records::Award& award) {
+  Job job;
+  job.spec = award.job.spec;
+  job.accepted = award.job.accepted;
+  job.owner = award.owner;
+  job.tasks.assign(job.spec.tasks, {Task::State::elsewhere, nullptr, 0});
+  job.recorded.assign(job.spec.tasks, false);
+  return job;
+}
+
+/// Marks those tasks of a chunk as done that are recorded as done and not known here to be.
+void apply_done_bits(Job& job, const records::DoneBits& done, ProgressRead read) {
+  const std::size_t first = std::size_t{done.chunk} * records::kChunk;
+  for (std::size_t i = 0; i < done.bits.size() && first + i < job.tasks.size(); ++i) {
+    if (!done.bits[i]) continue;
+    const Task::State state = job.tasks[first + i].state;
+    if (state == Task::State::elsewhere ||
+        (read == ProgressRead::at_takeover && state == Task::State::waiting))
+      job.mark_done(static_cast<std::uint32_t>(first + i), true);
+  }
+}
+
+/// A record of finished tasks that the shard wrote itself.
+void load_own_progress(Shard& shard, DoneSlot& slot, const std::vector<records::DoneBits>& chunks) {
+  for (const records::DoneBits& chunk : chunks) {
+    const auto job = shard.jobs.find(chunk.job);
+    // A job that is gone is left out when the record is written next.
+    if (job == shard.jobs.end()) continue;
+    if (slot.chunks.insert({chunk.job, chunk.chunk}).second)
+      slot.bytes += records::done_bytes(chunk.job, chunk.bits.size());
+    apply_done_bits(job->second, chunk, ProgressRead::at_takeover);
+  }
+}
+
+/// A record of finished tasks that another shard wrote.
+void load_progress_of_peer(Shard& shard, const std::vector<records::DoneBits>& chunks, ProgressRead read) {
+  for (const records::DoneBits& chunk : chunks) {
+    const auto job = shard.jobs.find(chunk.job);
+    if (job != shard.jobs.end() && job->second.owner.empty()) apply_done_bits(job->second, chunk, read);
+  }
+}
+
+}  // namespace
+
+void AwardReader::refresh(Shard& shard) {
+  if (state_.now() >= shard.next_awards) read_awards(shard);
+  const bool has_awarded = std::any_of(shard.jobs.begin(), shard.jobs.end(),
+                                       [](const auto& entry) { return is_awarded_by_us(entry.second); });
+  if (has_awarded && state_.now() >= shard.next_progress) read_progress(shard);
+}
+
+void AwardReader::on_award_notice(const std::string& name) {
+  Shard* shard = state_.ready_shard(name);
+  if (shard == nullptr) return;
+  shard->next_awards = Micros{0};
+  shard->quota_stale = true;
+}
+
+void AwardReader::on_progress_notice(const std::string& name) {
+  if (Shard* shard = state_.ready_shard(name))
+    shard->next_progress = std::min(shard->next_progress, state_.now() + kReadAfterNotice);
+}
+
+// ---- awards --------------------------------------------------------------------------------------
+
+void AwardReader::read_awards(Shard& shard) {
+  if (shard.reading_awards) return;
+  shard.reading_awards = true;
+  shard.next_awards = state_.now() + kReadEvery;
+  state_.store.list(records::award_prefix(shard.name),
+                    [this, name = shard.name, leadership_term = shard.leadership_term,
+                     asked = state_.now()](const StoreResponse& response) {
+                      if (Shard* read_shard = state_.shard_in_term(name, leadership_term))
+                        on_awards_read(*read_shard, response, asked);
+                    });
+}
+
+void AwardReader::on_awards_read(Shard& shard, const StoreResponse& response, Micros asked) {
+  shard.reading_awards = false;
+  if (!response.ok()) return;
+  shard.awards_read(asked, state_.context.settings.lease_term());
+  shard.changed();
+  load_awards(shard, response.entries, asked);
+  std::set<std::string> current;
+  for (const KeyValue& entry : response.entries) current.insert(entry.key);
+  for (auto& [id, job] : shard.jobs) {
+    if (job.owner.empty()) continue;
+    const bool still_awarded = std::any_of(job.awards.begin(), job.awards.end(),
+                                           [&](const auto& award) { return current.contains(award.first); });
+    // Awards are removed when their job is done or cancelled.
+    if (!still_awarded) shard.end(job);
+  }
+}
+
+void AwardReader::load_awards(Shard& shard, const std::vector<KeyValue>& entries, Micros asked) {
+  for (const KeyValue& entry : entries) {
+    const std::vector<std::string> key = records::split_key(entry.key);
+    const auto award = records::award(entry.value);
+    if (key.size() != 4 || !award) continue;
+    const std::string& winner = key[1];
+    if (winner == shard.name)
+      load_award_to_us(shard, entry.key, *award, asked);
+    else if (award->owner == shard.name)
+      load_award_by_us(shard, entry.key, winner, *award);
+  }
+}
+
+void AwardReader::load_award_to_us(Shard& shard, const std::string& key, const records::Award& award,
+                                   Micros asked) {
+  // The job may have ended since the records were asked for.
+  const std::string& id = award.job.spec.id;
+  if (!state_.may_act_on(shard, id, asked)) return;
+  auto found = shard.jobs.find(id);
+  if (found == shard.jobs.end()) {
+    Job awarded = job_of_award(award);
+    awarded.unreconciled = !shard.ready();
+    shard.has_unreconciled_jobs |= awarded.unreconciled;
+    found = shard.jobs.emplace(id, std::move(awarded)).first;
+  }
+  Job& job = found->second;
+  if (job.owner.empty() || !job.awards.emplace(key, shard.name).second) return;
+  shard.changed();
+  for (const std::uint32_t task : tasks_of(award, job))
+    if (job.tasks[task].state == Task::State::elsewhere) job.set_waiting(task);
+}
+
+void AwardReader::load_award_by_us(Shard& shard, const std::string& key, const std::string& winner,
+                                   const records::Award& award) {
+  const auto found = shard.jobs.find(award.job.spec.id);
+  if (found == shard.jobs.end()) return;
+  Job& job = found->second;
+  if (!job.awards.emplace(key, winner).second) return;
+  for (const std::uint32_t task : tasks_of(award, job))
+    if (job.tasks[task].state == Task::State::waiting)
+      job.leave_waiting(task, {Task::State::elsewhere, nullptr, 0});
+}
+
+void AwardReader::stop_stale_awards(Shard& shard, Machine& machine) {
+  if (state_.now() < shard.awards_valid_until) return;
+  for (auto& [id, placement] : machine.tasks) {
+    const auto job = shard.jobs.find(id.task.job);
+    if (!placement.wanted || job == shard.jobs.end() || !shard.award_is_stale(job->second, state_.now()))
+      continue;
+    shard.change(machine, id, placement, [](Placement& changed) { changed.wanted = false; });
+    state_.context.debug([&shard, &machine, &attempt = id] {
+      return LogMessage("task not wanted any more")
+          .shard(shard.name)
+          .job(attempt.task.job)
+          .task(attempt.task.index)
+          .attempt(attempt.attempt)
+          .machine(machine.name)
+          .why("its award was last read too long ago");
+    });
+    shard.request_push(machine);
+  }
+}
+
+// ---- finished tasks ------------------------------------------------------------------------------
+
+void AwardReader::read_progress(Shard& shard) {
+  if (shard.reading_progress) return;
+  shard.reading_progress = true;
+  shard.next_progress = state_.now() + kReadEvery;
+  state_.store.list(records::kDonePrefix, [this, name = shard.name, leadership_term = shard.leadership_term](
+                                              const StoreResponse& response) {
+    Shard* read_shard = state_.shard_in_term(name, leadership_term);
+    if (read_shard == nullptr) return;
+    read_shard->reading_progress = false;
+    if (response.ok()) load_progress(*read_shard, response.entries, ProgressRead::periodic);
+  });
+}
+
+void AwardReader::load_progress(Shard& shard, const std::vector<KeyValue>& entries, ProgressRead read) {
+  for (const KeyValue& entry : entries) {
+    const std::vector<std::string> key = records::split_key(entry.key);
+    if (key.size() != 3) continue;
+    const bool is_own = key[1] == shard.name;
+    if (is_own && read == ProgressRead::periodic) continue;
+    const auto chunks = records::done(entry.value);
+    if (!is_own) {
+      if (chunks) load_progress_of_peer(shard, *chunks, read);
+      continue;
+    }
+    const auto number = static_cast<std::uint32_t>(std::strtoul(key[2].c_str(), nullptr, 10));
+    DoneSlot& slot = shard.done_slots[number];
+    slot.revision = entry.revision;
+    if (chunks) load_own_progress(shard, slot, *chunks);
+  }
+}
+
+}  // namespace bendtide
--- /dev/null
+++ b/src/core/negotiation/initiator.h
@@ -0,0 +1,69 @@
+// The initiator of the contract net: calls for proposals for tasks that found no room in their own shard,
+// compares the proposals of the other shards, and awards the tasks to the best one.
+//
+// A call goes to every shard whose leader can be reached. If the best proposals are close, another round
+// discloses the job's priority and deadline to those shards. A peer that does not answer in time refuses.
+#pragma once
+
+#include <map>
+#include <set>
+#include <string>
+#include <vector>
+
+#include "core/negotiation/quota_transfer.h"
+
+namespace bendtide {
+
+class Initiator {
+ public:
+  Initiator(ControllerState& state, QuotaTransfer& quota_transfer, NegotiationCounters& counters);
+
+  /// Decides all calls that every peer has answered or whose time is over.
+  void decide_due_calls();
+  /// Calls for proposals for the jobs of a shard whose turn it is, a few at a time.
+  void start_calls(Shard& shard);
+  void on_proposal(const Proposal& proposal);
+  /// Calls that are not decided yet.
+  std::size_t open_calls() const { return negotiations_.size(); }
+
+ private:
+  /// A call that is not decided yet.
+  struct Negotiation {
+    std::string shard;
+    std::uint64_t leadership_term = 0;
+    CallForProposals call;
+    std::set<std::string> asked;                ///< shards
+    std::map<std::string, Proposal> proposals;  ///< of this round, by shard
+    Micros decide_at{0};                        ///< steady clock
+  };
+  /// Waiting tasks of a job that were taken out of it for an award.
+  struct TaskSelection {
+    std::vector<std::uint32_t> tasks;
+    std::vector<std::pair<std::uint32_t, std::uint32_t>> ranges;  ///< the same: first task, number of tasks
+  };
+
+  bool may_be_awarded(const Job& job) const;
+  std::vector<Job*> jobs_due_for_call(Shard& shard) const;
+  bool start_call(Shard& shard, Job& job);
+  CallForProposals call_for(const Shard& shard, const Job& job);
+  std::set<std::string> reachable_shards(const std::string& except) const;
+  void ask(Negotiation& negotiation);
+
+  void decide(std::uint64_t call_id);
+  std::vector<Proposal> feasible_proposals(const Negotiation& negotiation, const Job& job) const;
+  bool is_close(const std::vector<Proposal>& feasible) const;
+  void start_next_round(Negotiation negotiation, const Job& job, const std::vector<Proposal>& feasible);
+  void on_all_refused(Shard& shard, Job& job, const Negotiation& negotiation);
+  void request_quota(const Shard& shard, const Job& job, const Negotiation& negotiation);
+  static void mark_similar_refused(Shard& shard, const Job& refused);
+  void award(Shard& shard, Job& job, const Proposal& best);
+  static TaskSelection select_tasks(Job& job, std::int64_t count, std::size_t most_ranges);
+
+  ControllerState& state_;
+  QuotaTransfer& quota_transfer_;
+  NegotiationCounters& counters_;
+  std::map<std::uint64_t, Negotiation> negotiations_;  ///< by the id of the call
+  std::uint64_t next_call_id_;
+};
+
+}  // namespace bendtide
--- /dev/null
+++ b/src/core/negotiation/participant.cpp
@@ -0,0 +1,46 @@
+#include "core/negotiation/participant.h"
+
+#include <algorithm>
+
+namespace bendtide {
+
+namespace {
+
+/// Thousandths of the cpu of all machines of a shard that are used.
+std::uint32_t load_permille(const Shard& shard) {
+  std::int64_t size = 1;  // never zero, so that an empty shard has no load
+  std::int64_t used = 0;
+  for (const auto& [name, machine] : shard.machines) {
+    size += machine.size.cpu;
+    used += machine.used.cpu;
+  }
+  return static_cast<std::uint32_t>(std::clamp<std::int64_t>(used * 1000 / size, 0, 1000));
+}
+
+}  // namespace
+
+void Participant::on_call(const CallForProposals& call) {
+  for (auto& [name, shard] : state_.shards) {
+    if (name == call.from_shard || !state_.lease_valid()) continue;
+    state_.send_to_leader_of(call.from_shard, proposal_for(call, shard));
+  }
+}
+
+Proposal Participant::proposal_for(const CallForProposals& call, Shard& shard) {
+  Proposal proposal;
+  proposal.id = call.id;
+  proposal.round = call.round;
+  proposal.shard = shard.name;
+  if (!shard.ready() || !shard.quota_is_current() || !shard.quota_shares.contains(call.team))
+    return proposal;  // a refusal
+  scheduler_.pass(shard);
+  const Scheduler::Offer offer = scheduler_.offer(shard, call);
+  proposal.tasks = offer.tasks;
+  proposal.start_delay = offer.delay;
+  proposal.load_permille = load_permille(shard);
+  proposal.quota_revision = shard.quota_revision;
+  proposal.free_quota_share = at_least_zero(shard.free_quota_share(call.team));
+  return proposal;
+}
+
+}  // namespace bendtide
--- /dev/null
+++ b/src/core/negotiation/participant.h
@@ -0,0 +1,23 @@
+// The participant of the contract net: answers the calls for proposals of other shards.
+#pragma once
+
+#include "core/placement/scheduler.h"
+
+namespace bendtide {
+
+class Participant {
+ public:
+  Participant(ControllerState& state, Scheduler& scheduler) : state_(state), scheduler_(scheduler) {}
+
+  /// Sends one proposal for each shard led here but the one that calls. A proposal binds nobody: the award is
+  /// conditional on the revision of the allocation that the proposal names.
+  void on_call(const CallForProposals& call);
+
+ private:
+  Proposal proposal_for(const CallForProposals& call, Shard& shard);
+
+  ControllerState& state_;
+  Scheduler& scheduler_;
+};
+
+}  // namespace bendtide
--- a/src/core/state/controller_state.h
+++ b/src/core/state/controller_state.h
@@ -78,6 +78,10 @@
     auto it = routes.find(shard);
     return it == routes.end() || it->second.host.empty() ? shard : it->second.host;
   }
+  /// Sends a message to the leader of a shard, which may be this controller.
+  void send_to_leader_of(const std::string& shard, PeerMessage message) {
+    context.act(PeerSend{leader_of(shard), std::move(message)});
+  }
   /// Whether a peer has said anything lately.
   bool reachable(const std::string& host) const {
     if (host == self()) return true;
--- a/src/core/state/shard.h
+++ b/src/core/state/shard.h
@@ -175,6 +175,8 @@
     return q;
   }
   Quota free_quota_share(const std::string& team) const { return quota_share(team) - used(team); }
+  /// Whether the allocation is known as it stands in the key-value store, and no move of share is under way.
+  bool quota_is_current() const { return !quota_write_in_flight && !quota_stale && quota_revision != 0; }
   /// The same, counted afresh: what the sums are checked against.
   bool sums_hold() const;
 
