--- a/src/core/controller/controller.cpp
+++ b/src/core/controller/controller.cpp
@@ -230,7 +230,7 @@
   net_.load_awards(shard, awards, asked);
   ContractNet::load_progress(shard, done);
   fleet_.restore_unreachable_machines(shard);
-  shard.awards_read(shard.acquired_at, context_.settings.lease_term());
+  shard.award_freshness.confirm(shard.acquired_at, context_.settings.lease_term());
   load_quota_allocation(shard);
 }
 
@@ -248,8 +248,7 @@
     if (a.ok() && !a.entries.empty()) {
       auto quota_allocation = records::quota_allocation(a.entries.front().value);
       if (!quota_allocation) return again();
-      p->quota_shares = quota_allocation->quota_shares;
-      p->quota_revision = a.entries.front().revision;
+      p->quota.load(quota_allocation->quota_shares, a.entries.front().revision);
       p->stage = Shard::Stage::ready;
       context_.info("part " + name + " is ready: " + std::to_string(p->jobs.size()) + " jobs, " +
                     std::to_string(p->machines.size()) + " machines");
--- a/src/core/controller/overview.cpp
+++ b/src/core/controller/overview.cpp
@@ -14,7 +14,7 @@
   Value held = Value::array(), routes = Value::object();
   for (const auto& [name, shard] : state.shards) {
     Value quota_shares = Value::object();
-    for (const auto& [team, share] : shard.quota_shares)
+    for (const auto& [team, share] : shard.quota.shares())
       quota_shares[team] = {{"share_cpus", units(share.cpu)},
                             {"used_or_possibly_used_cpus", units(shard.used(team).cpu)}};
     held.push_back({{"part", name},
--- a/src/core/negotiation/award_reader.cpp
+++ b/src/core/negotiation/award_reader.cpp
@@ -68,30 +68,27 @@
 }  // namespace
 
 void AwardReader::refresh(Shard& shard) {
-  if (state_.now() >= shard.next_awards) read_awards(shard);
+  if (shard.award_read.due(state_.now())) read_awards(shard);
   const bool has_awarded = std::any_of(shard.jobs.begin(), shard.jobs.end(),
                                        [](const auto& entry) { return is_awarded_by_us(entry.second); });
-  if (has_awarded && state_.now() >= shard.next_progress) read_progress(shard);
+  if (has_awarded && shard.progress_read.due(state_.now())) read_progress(shard);
 }
 
 void AwardReader::on_award_notice(const std::string& name) {
   Shard* shard = state_.ready_shard(name);
   if (shard == nullptr) return;
-  shard->next_awards = Micros{0};
-  shard->quota_stale = true;
+  shard->award_read.hasten(state_.now());
+  shard->quota.mark_stale();
 }
 
 void AwardReader::on_progress_notice(const std::string& name) {
-  if (Shard* shard = state_.ready_shard(name))
-    shard->next_progress = std::min(shard->next_progress, state_.now() + kReadAfterNotice);
+  if (Shard* shard = state_.ready_shard(name)) shard->progress_read.hasten(state_.now() + kReadAfterNotice);
 }
 
 // ---- awards --------------------------------------------------------------------------------------
 
 void AwardReader::read_awards(Shard& shard) {
-  if (shard.reading_awards) return;
-  shard.reading_awards = true;
-  shard.next_awards = state_.now() + kReadEvery;
+  shard.award_read.begin(state_.now(), kReadEvery);
   state_.store.list(records::award_prefix(shard.name),
                     [this, name = shard.name, leadership_term = shard.leadership_term,
                      asked = state_.now()](const StoreResponse& response) {
@@ -101,9 +98,9 @@
 }
 
 void AwardReader::on_awards_read(Shard& shard, const StoreResponse& response, Micros asked) {
-  shard.reading_awards = false;
+  shard.award_read.finish();
   if (!response.ok()) return;
-  shard.awards_read(asked, state_.context.settings.lease_term());
+  shard.award_freshness.confirm(asked, state_.context.settings.lease_term());
   shard.changed();
   load_awards(shard, response.entries, asked);
   std::set<std::string> current;
@@ -161,7 +158,7 @@
 }
 
 void AwardReader::stop_stale_awards(Shard& shard, Machine& machine) {
-  if (state_.now() < shard.awards_valid_until) return;
+  if (shard.award_freshness.is_valid(state_.now())) return;
   for (auto& [id, placement] : machine.tasks) {
     const auto job = shard.jobs.find(id.task.job);
     if (!placement.wanted || job == shard.jobs.end() || !shard.award_is_stale(job->second, state_.now()))
@@ -183,14 +180,12 @@
 // ---- finished tasks ------------------------------------------------------------------------------
 
 void AwardReader::read_progress(Shard& shard) {
-  if (shard.reading_progress) return;
-  shard.reading_progress = true;
-  shard.next_progress = state_.now() + kReadEvery;
+  shard.progress_read.begin(state_.now(), kReadEvery);
   state_.store.list(records::kDonePrefix, [this, name = shard.name, leadership_term = shard.leadership_term](
                                               const StoreResponse& response) {
     Shard* read_shard = state_.shard_in_term(name, leadership_term);
     if (read_shard == nullptr) return;
-    read_shard->reading_progress = false;
+    read_shard->progress_read.finish();
     if (response.ok()) load_progress(*read_shard, response.entries, ProgressRead::periodic);
   });
 }
--- a/src/core/negotiation/contract_net.cpp
+++ b/src/core/negotiation/contract_net.cpp
@@ -16,7 +16,7 @@
     if (!shard.ready()) continue;
     quota_transfer_.refresh_allocation(shard);
     award_reader_.refresh(shard);
-    if (state_.now() < shard.awards_valid_until) {
+    if (shard.award_freshness.is_valid(state_.now())) {
       initiator_.start_calls(shard);
       continue;
     }
--- a/src/core/negotiation/initiator.cpp
+++ b/src/core/negotiation/initiator.cpp
@@ -122,7 +122,7 @@
   call.zone = job.spec.zone.value_or("");
   call.spot = job.spec.spot;
   call.image = job.spec.image;
-  call.spare_quota = at_least_zero(shard.free_quota_share(job.spec.team));
+  call.spare_quota = shard.quota.spare(job.spec.team);
   return call;
 }
 
@@ -228,7 +228,7 @@
   std::sort(givers.begin(), givers.end(),
             [](const Proposal* a, const Proposal* b) { return a->free_quota_share > b->free_quota_share; });
   const Quota want = quota_of(job.spec.each) * static_cast<std::int64_t>(job.waiting.size());
-  Quota expected = shard.free_quota_share(job.spec.team);
+  Quota expected = shard.quota.free(job.spec.team);
   for (const Proposal* giver : givers) {
     if (want.fits_in(expected)) return;
     state_.send_to_leader_of(giver->shard, QuotaTransferRequest{giver->shard, shard.name, job.spec.team,
@@ -254,9 +254,9 @@
 /// Awards as many tasks as the proposal takes and the winner's share allows, together with the share that it
 /// lacks for them.
 void Initiator::award(Shard& shard, Job& job, const Proposal& best) {
-  if (!shard.quota_is_current()) return;
+  if (!shard.quota.is_current()) return;
   const Quota each = quota_of(job.spec.each);
-  const Quota spare = at_least_zero(shard.free_quota_share(job.spec.team));
+  const Quota spare = shard.quota.spare(job.spec.team);
   const std::int64_t count =
       std::min<std::int64_t>({best.tasks, static_cast<std::int64_t>(job.waiting.size()), kTasksPerAward,
                               (best.free_quota_share + spare).holds(each)});
--- a/src/core/negotiation/participant.cpp
+++ b/src/core/negotiation/participant.cpp
@@ -31,15 +31,15 @@
   proposal.id = call.id;
   proposal.round = call.round;
   proposal.shard = shard.name;
-  if (!shard.ready() || !shard.quota_is_current() || !shard.quota_shares.contains(call.team))
+  if (!shard.ready() || !shard.quota.is_current() || !shard.quota.has_share_of(call.team))
     return proposal;  // a refusal
   scheduler_.pass(shard);
   const Scheduler::Offer offer = scheduler_.offer(shard, call);
   proposal.tasks = offer.tasks;
   proposal.start_delay = offer.delay;
   proposal.load_permille = load_permille(shard);
-  proposal.quota_revision = shard.quota_revision;
-  proposal.free_quota_share = at_least_zero(shard.free_quota_share(call.team));
+  proposal.quota_revision = shard.quota.revision();
+  proposal.free_quota_share = shard.quota.spare(call.team);
   return proposal;
 }
 
--- a/src/core/negotiation/quota_transfer.cpp
+++ b/src/core/negotiation/quota_transfer.cpp
@@ -24,8 +24,7 @@
 
 void QuotaTransfer::start(Shard& shard, const std::string& to, const std::string& team, Quota amount,
                           std::optional<AwardedTasks> award) {
-  shard.quota_write_in_flight = true;
-  shard.quota_in_transfer[team] += amount;
+  shard.quota.begin_transfer(team, amount);
   const QuotaMove move{shard.name, shard.leadership_term, state_.fenced_by(shard), to, team,
                        amount,     std::move(award)};
   state_.store.get(records::quota_key(to),
@@ -49,16 +48,16 @@
   commit(*shard, move, receiver->quota_shares, response.entries.front().revision);
 }
 
-void QuotaTransfer::commit(Shard& shard, const QuotaMove& move,
-                           const std::map<std::string, Quota>& receiver_shares, Revision receiver_revision) {
-  records::QuotaAllocation ours{shard.quota_shares};
+void QuotaTransfer::commit(Shard& shard, const QuotaMove& move, const QuotaLedger::Shares& receiver_shares,
+                           Revision receiver_revision) {
+  records::QuotaAllocation ours{shard.quota.shares()};
   ours.quota_shares[move.team] -= move.amount;
   records::QuotaAllocation theirs{receiver_shares};
   theirs.quota_shares[move.team] += move.amount;
   const std::string our_key = records::quota_key(move.from);
   const std::string their_key = records::quota_key(move.to);
   Transaction transaction;
-  transaction.compares = {move.fence, {our_key, shard.quota_revision}, {their_key, receiver_revision}};
+  transaction.compares = {move.fence, {our_key, shard.quota.revision()}, {their_key, receiver_revision}};
   transaction.writes = {{our_key, records::to_json(ours), 0}, {their_key, records::to_json(theirs), 0}};
   if (move.award) {
     // Tasks of a job that is over must not be awarded, even if this leader has not learned of its end.
@@ -75,13 +74,13 @@
   if (shard == nullptr) return;
   switch (response.outcome) {
     case Outcome::ok:
-      shard->quota_revision = response.revision;
+      shard->quota.set_revision(response.revision);
       return finish(*shard, move, true);
     case Outcome::unknown:
       return resolve(*shard, move);
     case Outcome::conflict:
       ++counters_.conflicts;
-      shard->quota_stale = true;
+      shard->quota.mark_stale();
       invalidate_leases_();
       return finish(*shard, move, false);
     case Outcome::absent:
@@ -91,9 +90,10 @@
 }
 
 void QuotaTransfer::finish(Shard& shard, const QuotaMove& move, bool applied) {
-  shard.quota_write_in_flight = false;
-  shard.quota_in_transfer[move.team] -= move.amount;
-  if (applied) shard.quota_shares[move.team] -= move.amount;
+  if (applied)
+    shard.quota.complete_transfer(move.team, move.amount);
+  else
+    shard.quota.cancel_transfer(move.team, move.amount);
   shard.changed();
   if (move.award) {
     const auto job = shard.jobs.find(move.award->job);
@@ -153,7 +153,7 @@
                       });
 }
 
-void QuotaTransfer::on_allocation_rewritten(const QuotaMove& move, const std::map<std::string, Quota>& shares,
+void QuotaTransfer::on_allocation_rewritten(const QuotaMove& move, const QuotaLedger::Shares& shares,
                                             const StoreResponse& response) {
   Shard* shard = state_.shard_in_term(move.from, move.leadership_term);
   if (shard == nullptr) return;
@@ -161,7 +161,7 @@
     invalidate_leases_();
     return resolve_later(move);
   }
-  shard->quota_revision = response.revision;
+  shard->quota.set_revision(response.revision);
   // Without an award, the shares just read include the move if it was executed: nothing depends on whether
   // it was.
   if (!move.award) return finish_resolved(move, shares, false);
@@ -169,7 +169,7 @@
                    [this, move, shares](const StoreResponse& award) { on_award_read(move, shares, award); });
 }
 
-void QuotaTransfer::on_award_read(const QuotaMove& move, const std::map<std::string, Quota>& shares,
+void QuotaTransfer::on_award_read(const QuotaMove& move, const QuotaLedger::Shares& shares,
                                   const StoreResponse& response) {
   switch (response.outcome) {
     case Outcome::ok:
@@ -183,14 +183,13 @@
   }
 }
 
-void QuotaTransfer::finish_resolved(const QuotaMove& move, const std::map<std::string, Quota>& shares,
-                                    bool applied) {
+void QuotaTransfer::finish_resolved(const QuotaMove& move, const QuotaLedger::Shares& shares, bool applied) {
   Shard* shard = state_.shard_in_term(move.from, move.leadership_term);
   if (shard == nullptr) return;
   finish(*shard, move, applied);
-  shard->quota_shares = shares;
+  shard->quota.load(shares, shard->quota.revision());
   shard->changed();
-  shard->quota_stale = true;
+  shard->quota.mark_stale();
 }
 
 // ---- requests of peers ---------------------------------------------------------------------------
@@ -198,7 +197,7 @@
 void QuotaTransfer::on_request(const QuotaTransferRequest& request) {
   Shard* shard = state_.ready_shard(request.from);
   if (shard == nullptr || request.to == request.from || !state_.routes.contains(request.to)) return;
-  if (!shard->quota_is_current() || !shard->quota_shares.contains(request.team)) return;
+  if (!shard->quota.is_current() || !shard->quota.has_share_of(request.team)) return;
   const Quota spare = at_least_zero(quota_to_spare(*shard, request));
   const Quota wanted = at_least_zero(request.want);
   const Quota amount{std::min(spare.cpu, wanted.cpu), std::min(spare.gpu, wanted.gpu)};
@@ -207,7 +206,7 @@
 }
 
 Quota QuotaTransfer::quota_to_spare(const Shard& shard, const QuotaTransferRequest& request) {
-  const Quota unused = shard.free_quota_share(request.team);
+  const Quota unused = shard.quota.free(request.team);
   Quota spare = unused;
   for (const auto& [id, job] : shard.jobs) {
     if (job.spec.team != request.team || job.ended || job.waiting.empty()) continue;
@@ -224,19 +223,17 @@
 }
 
 void QuotaTransfer::refresh_allocation(Shard& shard) {
-  if (!shard.quota_stale || shard.quota_write_in_flight) return;
-  shard.quota_write_in_flight = true;
+  if (!shard.quota.needs_read()) return;
+  shard.quota.begin_read();
   state_.store.get(
       records::quota_key(shard.name),
       [this, name = shard.name, leadership_term = shard.leadership_term](const StoreResponse& response) {
         Shard* read_shard = state_.shard_in_term(name, leadership_term);
         if (read_shard == nullptr) return;
-        read_shard->quota_write_in_flight = false;
+        read_shard->quota.finish_read();
         const auto allocation = allocation_in(response);
-        if (!allocation || response.entries.front().revision < read_shard->quota_revision) return;
-        read_shard->quota_shares = allocation->quota_shares;
-        read_shard->quota_revision = response.entries.front().revision;
-        read_shard->quota_stale = false;
+        if (!allocation || response.entries.front().revision < read_shard->quota.revision()) return;
+        read_shard->quota.load(allocation->quota_shares, response.entries.front().revision);
         read_shard->changed();
       });
 }
--- a/src/core/negotiation/quota_transfer.h
+++ b/src/core/negotiation/quota_transfer.h
@@ -6,7 +6,6 @@
 #pragma once
 
 #include <functional>
-#include <map>
 #include <optional>
 #include <string>
 #include <vector>
@@ -55,7 +54,7 @@
  private:
   // The steps of a move, in their order.
   void on_receiver_read(const QuotaMove& move, const StoreResponse& response);
-  void commit(Shard& shard, const QuotaMove& move, const std::map<std::string, Quota>& receiver_shares,
+  void commit(Shard& shard, const QuotaMove& move, const QuotaLedger::Shares& receiver_shares,
               Revision receiver_revision);
   void on_committed(const QuotaMove& move, const StoreResponse& response);
   void finish(Shard& shard, const QuotaMove& move, bool applied);
@@ -65,11 +64,10 @@
   void resolve(Shard& shard, const QuotaMove& move);
   void resolve_later(const QuotaMove& move);
   void on_allocation_read(const QuotaMove& move, const StoreResponse& response);
-  void on_allocation_rewritten(const QuotaMove& move, const std::map<std::string, Quota>& shares,
+  void on_allocation_rewritten(const QuotaMove& move, const QuotaLedger::Shares& shares,
                                const StoreResponse& response);
-  void on_award_read(const QuotaMove& move, const std::map<std::string, Quota>& shares,
-                     const StoreResponse& response);
-  void finish_resolved(const QuotaMove& move, const std::map<std::string, Quota>& shares, bool applied);
+  void on_award_read(const QuotaMove& move, const QuotaLedger::Shares& shares, const StoreResponse& response);
+  void finish_resolved(const QuotaMove& move, const QuotaLedger::Shares& shares, bool applied);
 
   /// What a shard can give of a team's share without keeping its own jobs from starting.
   static Quota quota_to_spare(const Shard& shard, const QuotaTransferRequest& request);
--- a/src/core/state/shard.h
+++ b/src/core/state/shard.h
@@ -9,8 +9,11 @@
 #include <vector>
 
 #include "core/model/peer_messages.h"
+#include "core/state/award_freshness.h"
 #include "core/state/job.h"
 #include "core/state/machine.h"
+#include "core/state/periodic_read.h"
+#include "core/state/quota_ledger.h"
 
 namespace bendtide {
 
@@ -55,17 +58,10 @@
   bool advance_token_eventually =
       false;  ///< and some day, for workers to forget ended attempts that were started directly
 
-  std::map<std::string, Quota> quota_shares;
-  std::map<std::string, Quota> quota_in_transfer;  ///< share in a write under way: neither ours nor given yet
-  Revision quota_revision = 0;
-  bool quota_write_in_flight = false;  ///< a write or read of our room record is under way
-  bool quota_stale = false;            ///< somebody else wrote our room record
-  bool reading_awards = false;
-  Micros awards_read_at{0};      ///< the awards to us are known as of then
-  Micros awards_valid_until{0};  ///< and are acted on until then: they may be taken back unseen
-  Micros next_awards{0};
-  bool reading_progress = false;
-  Micros next_progress{0};  ///< when to read what others did of our jobs
+  QuotaLedger quota;
+  AwardFreshness award_freshness;  ///< of the awards to this shard
+  PeriodicRead award_read;         ///< of the awards to this shard
+  PeriodicRead progress_read;      ///< of what other shards did of jobs of this one
   bool rereading = false;
   Micros next_reread{0};
   bool recording = false;  ///< a batch of finished tasks is under way
@@ -101,13 +97,9 @@
   bool all_reconciled() const {
     return std::all_of(machines.begin(), machines.end(), [](const auto& m) { return m.second.reconciled; });
   }
-  void awards_read(Micros as_of, Micros term) {
-    awards_read_at = as_of;
-    awards_valid_until = as_of + term;
-  }
   /// An award may have been taken back, and its job cancelled, since the awards were last read.
   bool award_is_stale(const Job& job, Micros now) const {
-    return !job.owner.empty() && now >= awards_valid_until;
+    return !job.owner.empty() && !award_freshness.is_valid(now);
   }
   /// Whether tasks of the job may be started. Asked right before a placement: a term may have ended, and
   /// begun again without a word from the key-value store, since the queue was made.
@@ -138,7 +130,7 @@
     p.of_service = job != nullptr && job->spec.shape == Shape::service;
     p.each = job != nullptr ? job->spec.each : m.size;
     if (job != nullptr) p.image = job->spec.image, p.image_gb = job->spec.image_gb;
-    p.usage = job != nullptr ? &usage_[job->spec.team] : &usage_of_unknown_;
+    p.usage = job != nullptr ? &quota.usage.by_team[job->spec.team] : &quota.usage.by_unknown_jobs;
   }
   void remove(Machine& m, const AttemptId& id) {
     auto it = m.tasks.find(id);
@@ -155,29 +147,17 @@
   /// Adds or takes away a machine, or what is on it, in the sums of the shard.
   void count_usage(const Machine& m, int sign) {
     if (!m.reconciled) {
-      usage_unreconciled_ += quota_of(m.size) * sign;
+      quota.usage.unreconciled += quota_of(m.size) * sign;
       return;
     }
     for (const auto& [id, p] : m.tasks)
       if (p.takes_room()) *p.usage += quota_of(p.each) * sign;
   }
 
-  /// What a team uses, or might: on a machine not reconciled any team may use all of it, and a task of a job
-  /// we don't know counts for every team.
-  Quota used(const std::string& team) const {
-    auto it = usage_.find(team);
-    return usage_unreconciled_ + usage_of_unknown_ + (it == usage_.end() ? Quota{} : it->second);
-  }
-  Quota quota_share(const std::string& team) const {
-    Quota q;
-    if (auto it = quota_shares.find(team); it != quota_shares.end()) q = it->second;
-    if (auto it = quota_in_transfer.find(team); it != quota_in_transfer.end()) q -= it->second;
-    return q;
-  }
-  Quota free_quota_share(const std::string& team) const { return quota_share(team) - used(team); }
-  /// Whether the allocation is known as it stands in the key-value store, and no move of share is under way.
-  bool quota_is_current() const { return !quota_write_in_flight && !quota_stale && quota_revision != 0; }
-  /// The same, counted afresh: what the sums are checked against.
+  Quota used(const std::string& team) const { return quota.usage.of(team); }
+  Quota quota_share(const std::string& team) const { return quota.share(team); }
+  Quota free_quota_share(const std::string& team) const { return quota.free(team); }
+  /// Whether all sums, of machines, jobs and quota, equal those counted afresh.
   bool sums_hold() const;
 
  private:
@@ -191,10 +171,6 @@
       if (auto job = jobs.find(id.task.job); job != jobs.end())
         job->second.present += static_cast<std::uint32_t>(sign);
   }
-
-  std::map<std::string, Quota> usage_;  ///< on reconciled machines, by team
-  Quota usage_of_unknown_;
-  Quota usage_unreconciled_;
 };
 
 }  // namespace bendtide
--- a/src/core/workers/fleet_commands.cpp
+++ b/src/core/workers/fleet_commands.cpp
@@ -76,7 +76,8 @@
   const Settings& s = state_.context.settings;
   if (job.ended || job.spec.checkpoint.count() == 0) return {};
   const Micros at_most = surely_over(std::max(s.worker_lease, job.spec.save));
-  const bool in_time = job.owner.empty() || state_.now() + at_most <= shard.awards_read_at + s.cancel_within;
+  const bool in_time =
+      job.owner.empty() || state_.now() + at_most <= shard.award_freshness.read_at + s.cancel_within;
   return in_time ? job.spec.save : Micros{0};
 }
 
--- a/tests/late_answer_test.cpp
+++ b/tests/late_answer_test.cpp
@@ -57,7 +57,7 @@
   HandAnswered t;
   Job& job = t.add_job();
   job.owner = "b";
-  t.shard.awards_read(t.context.now, seconds(10));
+  t.shard.award_freshness.confirm(t.context.now, seconds(10));
   t.collect([&] { t.jobs.on_malformed(1, kTask.job, "a repeat"); });
   StoreResponse absent;
   absent.outcome = Outcome::absent;
@@ -151,7 +151,7 @@
     if (now == "over") t.shard.end(job);
     if (now == "awarded and in doubt") {
       job.owner = "b";
-      t.shard.awards_read(seconds(91), seconds(10));
+      t.shard.award_freshness.confirm(seconds(91), seconds(10));
     }
     if (now == "known to be over") t.state.final_states.record_final(kTask.job, {}, t.context.now);
     const auto answers =
--- a/tests/machine_test.cpp
+++ b/tests/machine_test.cpp
@@ -125,7 +125,7 @@
   Scheduler scheduler(t.state, t.fleet);
   ContractNet net(t.state, scheduler, {[] {}});
   Job& job = t.add_job();
-  t.shard.awards_read(seconds(100), seconds(10));
+  t.shard.award_freshness.confirm(seconds(100), seconds(10));
   EXPECT_TRUE(t.shard.may_start(job, seconds(200))) << "our own";
   job.owner = "b";
   EXPECT_TRUE(t.shard.may_start(job, seconds(109)));
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -16,7 +16,7 @@
   RentingPart() {
     state.catalogue = {{"small", {8000, 0, 64000}, 50, 0.1, 0.5, 0.12, seconds(40), {"z"}}};
     context.settings.teams = {{"t", {8000, 0}, {80'000, 0}}, {"guests", {}, {80'000, 0}}};
-    shard.quota_shares = {{"t", {80'000, 0}}, {"guests", {80'000, 0}}};
+    shard.quota.load({{"t", {80'000, 0}}, {"guests", {80'000, 0}}}, 1);
     shard.machines.clear();
   }
   /// Up, reconciled and heard a moment ago.
