--- /dev/null
+++ b/tests/quota_ledger_test.cpp
@@ -0,0 +1,84 @@
+// What a shard may use of a quota, while share is transferred and after.
+
+#include "core/state/quota_ledger.h"
+
+#include <gtest/gtest.h>
+
+#include "core/state/periodic_read.h"
+
+namespace bendtide {
+namespace {
+
+QuotaLedger loaded_ledger() {
+  QuotaLedger ledger;
+  ledger.load({{"t", {10'000, 2'000}}}, 7);
+  return ledger;
+}
+
+TEST(QuotaLedger, IsCurrentOnceLoadedUntilItIsStale) {
+  QuotaLedger ledger;
+  EXPECT_FALSE(ledger.is_current());
+  ledger.load({{"t", {10'000, 0}}}, 7);
+  EXPECT_TRUE(ledger.is_current());
+  ledger.mark_stale();
+  EXPECT_FALSE(ledger.is_current());
+  ASSERT_TRUE(ledger.needs_read());
+  ledger.begin_read();
+  EXPECT_FALSE(ledger.needs_read()) << "one read at a time";
+  ledger.finish_read();
+  EXPECT_TRUE(ledger.needs_read()) << "the read has failed";
+  ledger.load({{"t", {9'000, 0}}}, 8);
+  EXPECT_TRUE(ledger.is_current());
+  EXPECT_EQ(ledger.share("t"), (Quota{9'000, 0}));
+}
+
+TEST(QuotaLedger, FreesNoShareThatIsInTransfer) {
+  QuotaLedger ledger = loaded_ledger();
+  ledger.usage.by_team["t"] = {1'000, 0};
+  ledger.begin_transfer("t", {4'000, 1'000});
+  EXPECT_FALSE(ledger.is_current()) << "one transfer at a time";
+  EXPECT_EQ(ledger.free("t"), (Quota{5'000, 1'000}));
+  EXPECT_EQ(ledger.shares().at("t"), (Quota{10'000, 2'000})) << "as in the record";
+}
+
+TEST(QuotaLedger, LosesTheShareOfACompletedTransferOnly) {
+  for (const bool completed : {true, false}) {
+    QuotaLedger ledger = loaded_ledger();
+    ledger.begin_transfer("t", {4'000, 1'000});
+    if (completed)
+      ledger.complete_transfer("t", {4'000, 1'000});
+    else
+      ledger.cancel_transfer("t", {4'000, 1'000});
+    EXPECT_TRUE(ledger.is_current());
+    EXPECT_EQ(ledger.share("t"), (completed ? Quota{6'000, 1'000} : Quota{10'000, 2'000}));
+    EXPECT_EQ(ledger.shares().at("t"), ledger.share("t"));
+  }
+}
+
+TEST(QuotaLedger, CountsWhatAnyTeamMayUseForEveryTeam) {
+  QuotaLedger ledger = loaded_ledger();
+  ledger.usage.by_team["t"] = {1'000, 0};
+  ledger.usage.by_unknown_jobs = {2'000, 0};
+  ledger.usage.unreconciled = {8'000, 0};
+  EXPECT_EQ(ledger.free("t"), (Quota{-1'000, 2'000}));
+  EXPECT_EQ(ledger.spare("t"), (Quota{0, 2'000}));
+  EXPECT_EQ(ledger.free("other"), (Quota{-10'000, 0}));
+  EXPECT_FALSE(ledger.has_share_of("other"));
+}
+
+TEST(PeriodicRead, IsDueAtItsTimeUnlessInFlight) {
+  PeriodicRead read;
+  EXPECT_TRUE(read.due(seconds(1)));
+  read.begin(seconds(1), seconds(2));
+  EXPECT_FALSE(read.due(seconds(10))) << "in flight";
+  read.finish();
+  EXPECT_FALSE(read.due(seconds(2)));
+  EXPECT_TRUE(read.due(seconds(3)));
+  read.hasten(seconds(2));
+  EXPECT_TRUE(read.due(seconds(2)));
+  read.hasten(seconds(5));
+  EXPECT_TRUE(read.due(seconds(2))) << "never later";
+}
+
+}  // namespace
+}  // namespace bendtide
