--- a/src/core/state/shard.cpp
+++ b/src/core/state/shard.cpp
@@ -2,28 +2,57 @@
 
 namespace bendtide {
 
-bool Shard::sums_hold() const {
+namespace {
+
+bool machine_sums_hold(const Machine& machine) {
+  Resources used;
+  Resources being_released;
+  int services = 0;
+  for (const auto& [id, placement] : machine.tasks) {
+    if (!placement.takes_room()) continue;
+    used += placement.each;
+    if (!placement.wanted) being_released += placement.each;
+    if (placement.of_service) ++services;
+  }
+  return used == machine.used && being_released == machine.being_released && services == machine.services;
+}
+
+QuotaUsage count_usage_afresh(const Shard& shard) {
   QuotaUsage usage;
-  std::map<std::string, std::uint32_t> present;
-  for (const auto& [name, m] : machines) {
-    Resources used, being_released;
-    int services = 0;
-    if (!m.reconciled) usage.unreconciled += quota_of(m.size);
-    for (const auto& [id, p] : m.tasks) {
-      if (!p.takes_room()) continue;
-      used += p.each;
-      if (!p.wanted) being_released += p.each;
-      if (p.of_service) ++services;
-      auto job = jobs.find(id.task.job);
-      if (p.of_known_job) ++present[id.task.job];
-      if (m.reconciled)
-        (p.of_known_job && job != jobs.end() ? usage.by_team[job->second.spec.team]
-                                             : usage.by_unknown_jobs) += quota_of(p.each);
+  for (const auto& [name, machine] : shard.machines) {
+    if (!machine.reconciled) {
+      usage.unreconciled += quota_of(machine.size);
+      continue;
+    }
+    for (const auto& [id, placement] : machine.tasks) {
+      if (!placement.takes_room()) continue;
+      const auto job = shard.jobs.find(id.task.job);
+      const bool team_known = placement.of_known_job && job != shard.jobs.end();
+      Quota& sum = team_known ? usage.by_team[job->second.spec.team] : usage.by_unknown_jobs;
+      sum += quota_of(placement.each);
     }
-    if (used != m.used || being_released != m.being_released || services != m.services) return false;
   }
+  return usage;
+}
+
+/// Placements that take room, by job.
+std::map<std::string, std::uint32_t> count_present_placements(const Shard& shard) {
+  std::map<std::string, std::uint32_t> present;
+  for (const auto& [name, machine] : shard.machines)
+    for (const auto& [id, placement] : machine.tasks)
+      if (placement.takes_room() && placement.of_known_job) ++present[id.task.job];
+  return present;
+}
+
+}  // namespace
+
+bool Shard::sums_hold() const {
+  for (const auto& [name, machine] : machines)
+    if (!machine_sums_hold(machine)) return false;
+  std::map<std::string, std::uint32_t> present = count_present_placements(*this);
   for (const auto& [id, job] : jobs)
     if (job.present != present[id]) return false;
+  QuotaUsage usage = count_usage_afresh(*this);
   for (const auto& [team, sum] : quota.usage.by_team)
     if (sum != usage.by_team[team]) return false;
   return usage.by_unknown_jobs == quota.usage.by_unknown_jobs &&
