--- a/src/core/model/peer_messages.h
+++ b/src/core/model/peer_messages.h
@@ -39,7 +39,7 @@
   std::string from_shard;
   std::string job;
   std::string team;
-  std::uint32_t tasks = 0;         ///< that found no room in `from_shard`
+  std::uint32_t tasks = 0;         ///< that found no capacity in `from_shard`
   Resources each;                  ///< what one task takes
   std::vector<std::string> types;  ///< machine types the job may run on; empty: any
   std::string zone;                ///< empty: any
--- a/src/core/negotiation/award_reader.cpp
+++ b/src/core/negotiation/award_reader.cpp
@@ -167,6 +167,7 @@
     state_.context.debug([&shard, &machine, &attempt = id] {
       return LogMessage("task not wanted any more")
           .shard(shard.name)
+          .token(shard.fencing_token)
           .job(attempt.task.job)
           .task(attempt.task.index)
           .attempt(attempt.attempt)
--- a/src/core/negotiation/contract_net.h
+++ b/src/core/negotiation/contract_net.h
@@ -1,7 +1,7 @@
 // The contract net between the shards: a bounded number of rounds in which the leader of a shard that has no
-// room for tasks finds another shard for them, or gets quota share from it.
+// capacity for tasks finds another shard for them, or gets quota share from it.
 //
-// Messages only say where it is worth trying. What counts is one conditional write for each award: it
+// Messages are hints. What counts is one conditional write for each award: it
 // compares the revisions of both shards' allocation records and moves tasks and quota share together, so that
 // the same capacity is awarded once.
 #pragma once
--- a/src/core/negotiation/initiator.cpp
+++ b/src/core/negotiation/initiator.cpp
@@ -32,7 +32,7 @@
   return in_seconds(proposal.start_delay) + static_cast<double>(proposal.load_permille) / 1000.0;
 }
 
-/// Whether shards that have no room for one task of `refused` have none for a task of `job` either.
+/// Whether shards that have no capacity for one task of `refused` have none for a task of `job` either.
 bool is_refused_with(const Job& job, const Job& refused) {
   const JobSpec& spec = job.spec;
   const JobSpec& other = refused.spec;
@@ -80,7 +80,7 @@
   return due;
 }
 
-/// False if there is nothing to call for, or nobody to call.
+/// False if there is nothing to call for, or no shard to call.
 bool Initiator::start_call(Shard& shard, Job& job) {
   // A job that can't be awarded may still lack share, which peers can hand over.
   if (!may_be_awarded(job) && !job.quota_share_exhausted) {
@@ -101,6 +101,7 @@
   state_.context.debug([&] {
     return LogMessage("call for proposals")
         .shard(shard.name)
+        .token(shard.fencing_token)
         .job(job.spec.id)
         .detail("call", negotiation.call.id)
         .detail("tasks", negotiation.call.tasks);
--- a/src/core/negotiation/initiator.h
+++ b/src/core/negotiation/initiator.h
@@ -1,4 +1,4 @@
-// The initiator of the contract net: calls for proposals for tasks that found no room in their own shard,
+// The initiator of the contract net: calls for proposals for tasks that found no capacity in their own shard,
 // compares the proposals of the other shards, and awards the tasks to the best one.
 //
 // A call goes to every shard whose leader can be reached. If the best proposals are close, another round
--- a/src/core/negotiation/participant.h
+++ b/src/core/negotiation/participant.h
@@ -9,8 +9,8 @@
  public:
   Participant(ControllerState& state, Scheduler& scheduler) : state_(state), scheduler_(scheduler) {}
 
-  /// Sends one proposal for each shard led here but the one that calls. A proposal binds nobody: the award is
-  /// conditional on the revision of the allocation that the proposal names.
+  /// Sends one proposal for each shard led here but the one that calls. A proposal is not binding: the award
+  /// is conditional on the revision of the allocation that the proposal names.
   void on_call(const CallForProposals& call);
 
  private:
--- a/src/core/negotiation/quota_transfer.cpp
+++ b/src/core/negotiation/quota_transfer.cpp
@@ -104,6 +104,7 @@
     ++counters_.awards;
     state_.context.info(LogMessage("tasks awarded")
                             .shard(move.from)
+                            .token(shard.fencing_token)
                             .job(move.award->job)
                             .detail("tasks", move.award->tasks.size())
                             .detail("winner", move.to));
--- a/src/core/state/job.h
+++ b/src/core/state/job.h
@@ -42,11 +42,16 @@
   Micros retry_at{0};
   int failures = 0;
 
-  // contract net, at the owner
-  std::map<std::string, std::string> awards;  ///< award key -> winning part
-  std::uint32_t tasks_in_award = 0;           ///< tasks in an award whose write is under way
-  Micros next_call{0};
-  bool refused = false;        ///< the last call found no room elsewhere: machines are to be rented
+  // ---- contract net
+
+  /// Keys of its award records, and the winning shards. At the owner: all awards of its tasks; elsewhere: the
+  /// awards to that shard.
+  std::map<std::string, std::string> awards;
+  std::uint32_t tasks_in_award = 0;  ///< tasks in an award whose write is under way, at the owner
+  Micros next_call{0};               ///< steady clock: not to call for proposals before
+  /// The last call for proposals found no capacity in other shards, or can't be made: machines are to be
+  /// rented.
+  bool refused = false;
   bool unrentable = false;     ///< the cloud has nothing for it
   std::uint32_t overflow = 0;  ///< tasks that found no room in the last pass
   bool quota_share_exhausted = false;
