--- a/src/core/controller/overview.cpp
+++ b/src/core/controller/overview.cpp
@@ -15,7 +15,7 @@
   Value routes = Value::object();
   for (const auto& [name, shard] : state.shards) {
     Value quota_shares = Value::object();
-    for (const auto& [team, share] : shard.quota_shares)
+    for (const auto& [team, share] : shard.quota.shares())
       quota_shares[team] = {{"share_cpus", in_units(share.cpu)},
                             {"used_or_possibly_used_cpus", in_units(shard.used(team).cpu)}};
     held.push_back({{"part", name},
@@ -81,8 +81,8 @@
 }
 
 Value negotiations(const ContractNet& net) {
-  const ContractNet::Counters& counters = net.counters();
-  return {{"open", net.open()},
+  const NegotiationCounters& counters = net.counters();
+  return {{"open", net.open_calls()},
           {"calls", counters.calls},
           {"rounds", counters.rounds},
           {"awards", counters.awards},
--- a/src/core/controller/shard_loader.cpp
+++ b/src/core/controller/shard_loader.cpp
@@ -54,7 +54,7 @@
   net_.load_awards(*shard, reads.awards, reads.requested_at);
   net_.load_progress(*shard, reads.done_tasks, true);
   fleet_.restore_unreachable_machines(*shard);
-  shard->awards_read(shard->acquired_at, state_.context.settings.lease_term());
+  shard->award_freshness.confirm(shard->acquired_at, state_.context.settings.lease_term());
   read_quota_allocation(load);
 }
 
@@ -86,8 +86,7 @@
                               ? records::quota_allocation(response.entries.front().value)
                               : std::nullopt;
   if (!allocation) return retry(load, &ShardLoader::read_quota_allocation);
-  shard->quota_shares = allocation->quota_shares;
-  shard->quota_revision = response.entries.front().revision;
+  shard->quota.load(allocation->quota_shares, response.entries.front().revision);
   become_ready(*shard);
 }
 
--- a/src/core/state/controller_state.h
+++ b/src/core/state/controller_state.h
@@ -86,6 +86,10 @@
     const auto found = routes.find(shard);
     return found == routes.end() || found->second.host.empty() ? shard : found->second.host;
   }
+  /// Sends a message to the leader of a shard, which may be this controller.
+  void send_to_leader_of(const std::string& shard, PeerMessage message) {
+    context.act(PeerSend{leader_of(shard), std::move(message)});
+  }
   /// Whether a health message of the host arrived lately. We reach ourselves at all times.
   bool reachable(const std::string& host) const {
     if (host == self()) return true;
--- a/src/core/state/job.h
+++ b/src/core/state/job.h
@@ -42,11 +42,16 @@
   Micros retry_at{0};                     ///< steady clock; nothing of it is started before
   int failures = 0;                       ///< of its tasks, in all; the pause before a retry grows with them
 
-  // contract net, at the owner
-  std::map<std::string, std::string> awards;  ///< award key -> winning part
-  std::uint32_t tasks_in_award = 0;           ///< tasks in an award whose write is under way
-  Micros next_call{0};
-  bool refused = false;  ///< the last call found no room elsewhere: machines are to be rented
+  // ---- contract net
+
+  /// Keys of its award records, and the winning shards. At the owner: all awards of its tasks; elsewhere: the
+  /// awards to that shard.
+  std::map<std::string, std::string> awards;
+  std::uint32_t tasks_in_award = 0;  ///< tasks in an award whose write is under way, at the owner
+  Micros next_call{0};               ///< steady clock: not to call for proposals before
+  /// The last call for proposals found no capacity in other shards, or can't be made: machines are to be
+  /// created.
+  bool refused = false;
 
   // found out by the last scheduling pass and the last scale out
   std::uint32_t overflow = 0;          ///< tasks that found no capacity in this shard
--- a/src/core/state/shard.h
+++ b/src/core/state/shard.h
@@ -9,12 +9,14 @@
 #include <vector>
 
 #include "core/model/peer_messages.h"
+#include "core/state/award_freshness.h"
 #include "core/state/done_slot.h"
 #include "core/state/job.h"
 #include "core/state/machine.h"
-#include "core/state/token_advance.h"
-#include "core/state/periodic_request.h"
 #include "core/state/ownership_block.h"
+#include "core/state/periodic_request.h"
+#include "core/state/quota_ledger.h"
+#include "core/state/token_advance.h"
 
 namespace bendtide {
 
@@ -37,17 +39,10 @@
   Stage stage = Stage::loading;
   TokenAdvance token_advance;
 
-  std::map<std::string, Quota> quota_shares;
-  std::map<std::string, Quota> quota_in_transfer;  ///< share in a write under way: neither ours nor given yet
-  Revision quota_revision = 0;
-  bool quota_write_in_flight = false;  ///< a write or read of our room record is under way
-  bool quota_stale = false;            ///< somebody else wrote our room record
-  bool reading_awards = false;
-  Micros awards_read_at{0};      ///< the awards to us are known as of then
-  Micros awards_valid_until{0};  ///< and are acted on until then: they may be taken back unseen
-  Micros next_awards{0};
-  bool reading_progress = false;
-  Micros next_progress{0};               ///< when to read what others did of our jobs
+  QuotaLedger quota;
+  AwardFreshness award_freshness;        ///< of the awards to this shard
+  PeriodicRequest award_read;            ///< of the awards to this shard
+  PeriodicRequest progress_read;         ///< of what other shards did of jobs of this one
   PeriodicRequest unfinished_jobs_read;  ///< finds jobs whose acceptance got no answer
   PeriodicRequest finished_tasks_write;
 
@@ -87,13 +82,9 @@
   bool all_reconciled() const {
     return std::all_of(machines.begin(), machines.end(), [](const auto& m) { return m.second.reconciled; });
   }
-  void awards_read(Micros as_of, Micros term) {
-    awards_read_at = as_of;
-    awards_valid_until = as_of + term;
-  }
   /// An award may have been taken back, and its job cancelled, since the awards were last read.
   bool award_is_stale(const Job& job, Micros now) const {
-    return !job.owner.empty() && now >= awards_valid_until;
+    return !job.owner.empty() && !award_freshness.is_valid(now);
   }
   /// Whether tasks of the job may be started. Asked right before a placement: a term may have ended, and
   /// begun again without a word from the key-value store, since the queue was made.
@@ -125,14 +116,14 @@
     if (job == nullptr) {
       placement.of_service = false;
       placement.each = machine.size;
-      placement.usage = &usage_of_unknown_;
+      placement.usage = &quota.usage.by_unknown_jobs;
       return;
     }
     placement.of_service = job->spec.shape == Shape::service;
     placement.each = job->spec.each;
     placement.image = job->spec.image;
     placement.image_gb = job->spec.image_gb;
-    placement.usage = &usage_[job->spec.team];
+    placement.usage = &quota.usage.by_team[job->spec.team];
   }
   void remove(Machine& machine, const AttemptId& id) {
     const auto found = machine.tasks.find(id);
@@ -149,27 +140,17 @@
   /// Adds (sign 1) or takes away (-1) a machine and the tasks on it in the sums of the shard.
   void count_usage(const Machine& machine, int sign) {
     if (!machine.reconciled) {
-      usage_unreconciled_ += quota_of(machine.size) * sign;
+      quota.usage.unreconciled += quota_of(machine.size) * sign;
       return;
     }
     for (const auto& [id, placement] : machine.tasks)
       if (placement.takes_resources()) *placement.usage += quota_of(placement.each) * sign;
   }
 
-  /// What a team uses, or might: on a machine not reconciled any team may use all of it, and a task of a job
-  /// we don't know counts for every team.
-  Quota used(const std::string& team) const {
-    auto it = usage_.find(team);
-    return usage_unreconciled_ + usage_of_unknown_ + (it == usage_.end() ? Quota{} : it->second);
-  }
-  Quota quota_share(const std::string& team) const {
-    Quota q;
-    if (auto it = quota_shares.find(team); it != quota_shares.end()) q = it->second;
-    if (auto it = quota_in_transfer.find(team); it != quota_in_transfer.end()) q -= it->second;
-    return q;
-  }
-  Quota free_quota_share(const std::string& team) const { return quota_share(team) - used(team); }
-  /// The same, counted afresh: what the sums are checked against.
+  Quota used(const std::string& team) const { return quota.usage.of(team); }
+  Quota quota_share(const std::string& team) const { return quota.share(team); }
+  Quota free_quota_share(const std::string& team) const { return quota.free(team); }
+  /// Whether all sums, of machines, jobs and quota, equal those counted afresh.
   bool sums_hold() const;
 
  private:
@@ -183,10 +164,6 @@
     if (const auto job = jobs.find(id.task.job); job != jobs.end())
       job->second.present += static_cast<std::uint32_t>(sign);
   }
-
-  std::map<std::string, Quota> usage_;  ///< on reconciled machines, by team
-  Quota usage_of_unknown_;
-  Quota usage_unreconciled_;
 };
 
 }  // namespace bendtide
--- a/src/core/workers/command_builder.cpp
+++ b/src/core/workers/command_builder.cpp
@@ -91,7 +91,7 @@
   if (job.ended || job.spec.checkpoint.count() == 0) return {};
   const Micros at_most = surely_over(std::max(settings.worker_lease, job.spec.save));
   const bool in_time =
-      job.owner.empty() || state_.now() + at_most <= shard.awards_read_at + settings.cancel_within;
+      job.owner.empty() || state_.now() + at_most <= shard.award_freshness.read_at + settings.cancel_within;
   return in_time ? job.spec.save : Micros{0};
 }
 
--- a/tests/late_answer_test.cpp
+++ b/tests/late_answer_test.cpp
@@ -57,7 +57,7 @@
   JobsFixture t;
   Job& job = t.add_job();
   job.owner = "b";
-  t.shard.awards_read(t.context.now, seconds(10));
+  t.shard.award_freshness.confirm(t.context.now, seconds(10));
   t.collect([&] { t.jobs.on_malformed(1, kTask.job, "a repeat"); });
   StoreResponse absent;
   absent.outcome = Outcome::absent;
@@ -152,7 +152,7 @@
     if (state == "ended") t.shard.end(job);
     if (state == "awarded, and the award is stale") {
       job.owner = "b";
-      t.shard.awards_read(seconds(91), seconds(10));
+      t.shard.award_freshness.confirm(seconds(91), seconds(10));
     }
     if (state == "known to have ended") t.state.final_states.record_final(kTask.job, {}, t.context.now);
     const auto answers =
