--- a/lab/user_crowd.cpp
+++ b/lab/user_crowd.cpp
@@ -29,7 +29,7 @@
   return std::nullopt;
 }
 
-std::string job_target(const std::string& id) { return std::string(kWork) + "/" + id; }
+std::string job_target(const std::string& id) { return std::string(kJobsPath) + "/" + id; }
 
 }  // namespace
 
@@ -93,7 +93,7 @@
   if (lab_.plan.planted == PlantedFault::misplace) sent.zone.reset();
   while (lab_.now() - since < kGiveUpAfter && !lab_.closing) {
     const Micros asked = lab_.now();
-    Question question{user.spec.id, "POST", kWork, wire::body_of(sent), any_controller(), kSubmitWithin};
+    Question question{user.spec.id, "POST", kJobsPath, wire::body_of(sent), any_controller(), kSubmitWithin};
     const Answer answer = co_await ask(std::move(question));
     if (answer.status == 200 || answer.status == 201) {
       user.accepted = true;
@@ -119,7 +119,8 @@
 io::Task<> UserCrowd::submit_again(User& user) {
   co_await lab_.loop.sleep(lab_.between(0, kHaste));
   const Micros asked = lab_.now();
-  Question question{user.spec.id, "POST", kWork, wire::body_of(user.spec), any_controller(), kSubmitWithin};
+  Question question{user.spec.id,     "POST",       kJobsPath, wire::body_of(user.spec),
+                    any_controller(), kSubmitWithin};
   const Answer answer = co_await ask(std::move(question));
   tell_checker(user, answer, asked);
 }
@@ -130,7 +131,7 @@
   lab_.checker.asked_to_cancel(user.spec.id);
   while (!lab_.closing) {
     const Micros asked = lab_.now();
-    Question question{user.spec.id, "POST",           job_target(user.spec.id) + kCancel,
+    Question question{user.spec.id, "POST",           job_target(user.spec.id) + kCancelSuffix,
                       "{}",         any_controller(), kSubmitWithin};
     const Answer answer = co_await ask(std::move(question));
     tell_checker(user, answer, asked);
@@ -196,9 +197,9 @@
   const Answer answer = read(question.job, result);
   ++(answer.status == 0 || answer.status == 503 ? refusals_ : answers_);
   lab_.history.add(question.job + ": " + question.method + " " + question.target + " at " +
-                        Laboratory::host(question.controller) + " -> " + std::to_string(answer.status) + " " +
-                        to_text(answer.phase) + " after " +
-                        std::to_string((lab_.now() - asked).count() / 1000) + " ms");
+                   Laboratory::host(question.controller) + " -> " + std::to_string(answer.status) + " " +
+                   to_text(answer.phase) + " after " + std::to_string((lab_.now() - asked).count() / 1000) +
+                   " ms");
   co_return answer;
 }
 
--- a/lab/worker_fleet.cpp
+++ b/lab/worker_fleet.cpp
@@ -121,11 +121,11 @@
 
 void WorkerFleet::record_orders(const std::string& machine, const std::string& body, const char* how) {
   const json message = json::parse(body, nullptr, false);
-  if (!message.is_object() || !message.contains(kCommandList)) return;
-  for (const json& order : message.at(kCommandList))
-    lab_.history.add(order.at(kTask).get<std::string>() + " attempt " + order.at(kAttempt).dump() +
-                          ": " + machine + " is told " + how + " to " + order.at(kVerb).get<std::string>() +
-                          " under token " + message.value(kToken, json(nullptr)).dump());
+  if (!message.is_object() || !message.contains(kCommands)) return;
+  for (const json& order : message.at(kCommands))
+    lab_.history.add(order.at(kTask).get<std::string>() + " attempt " + order.at(kAttempt).dump() + ": " +
+                     machine + " is told " + how + " to " + order.at(kVerb).get<std::string>() +
+                     " under token " + message.value(kFencingToken, json(nullptr)).dump());
 }
 
 std::string WorkerFleet::with_planted_fault(const std::string& machine, const std::string& body) {
@@ -135,11 +135,11 @@
                                                                  : nullptr;
   if (dropped == nullptr && planted != PlantedFault::start_twice) return body;
   json message = json::parse(body, nullptr, false);
-  if (!message.is_object() || !message.contains(kCommandList)) return body;
+  if (!message.is_object() || !message.contains(kCommands)) return body;
   json kept = json::array();
-  for (const json& order : message.at(kCommandList))
+  for (const json& order : message.at(kCommands))
     if (dropped == nullptr || order.at(kVerb) != dropped) kept.push_back(order);
-  message[kCommandList] = kept;
+  message[kCommands] = kept;
   if (planted == PlantedFault::start_twice) start_elsewhere(machine, message);
   return message.dump();
 }
@@ -149,8 +149,8 @@
   for (const std::string& other : up()) {
     if (other == machine) continue;
     json copy = message;
-    copy[kToken] = message.value(kToken, std::uint64_t{0}) + kHigherToken;
-    copy[kSession] = 1;
+    copy[kFencingToken] = message.value(kFencingToken, std::uint64_t{0}) + kHigherToken;
+    copy[kIncarnation] = 1;
     worker(other)->orders(copy.dump(), lab_.now());
     return;
   }
@@ -185,7 +185,8 @@
     co_await lab_.loop.sleep(seconds(1));
   } else {
     if (late_reports_ && lab_.chance() < kShareOfLateReports) lab_.loop.spawn(repeat_report(body));
-    HttpCall call{lab_.address(Laboratory::user_port(controller)), "POST", kCheckin, body, kReportWithin};
+    HttpCall call{lab_.address(Laboratory::user_port(controller)), "POST", kHeartbeatPath, body,
+                  kReportWithin};
     result = co_await perform(lab_.loop, std::move(call));
   }
   self = worker(machine);
@@ -208,7 +209,7 @@
 io::Task<> WorkerFleet::repeat_report(std::string body) {
   co_await lab_.loop.sleep(lab_.between(2, in_seconds(lab_.settings.worker_lease) * 1.6));
   const int controller = lab_.pick(kControllers);
-  HttpCall call{lab_.address(Laboratory::user_port(controller)), "POST", kCheckin, std::move(body),
+  HttpCall call{lab_.address(Laboratory::user_port(controller)), "POST", kHeartbeatPath, std::move(body),
                 kReportWithin};
   co_await perform(lab_.loop, std::move(call));
 }
--- a/src/app/daemon.cpp
+++ b/src/app/daemon.cpp
@@ -230,7 +230,7 @@
       reply = co_await answer_admin(parsed.message);
     } else {
       reply = co_await answer_user(parsed.message);
-      const bool worker = parsed.message.target == wire::names::kCheckin;
+      const bool worker = parsed.message.target == wire::names::kHeartbeatPath;
       metrics_.observe(worker ? Metrics::Kind::worker : Metrics::Kind::user, loop_.now() - began,
                        reply.status < 500);
     }
@@ -254,7 +254,7 @@
   const std::string_view path = std::string_view(request.target).substr(0, request.target.find('?'));
   const bool get = request.method == "GET", post = request.method == "POST";
 
-  if (path == kHealth) {
+  if (path == kHealthPath) {
     if (!get) co_return error(405, "GET only");
     enter();
     const bool healthy = core_.healthy();
@@ -262,14 +262,14 @@
     if (healthy) co_return Reply{200, "{}", 0, kJson};
     co_return Reply{503, "{}", 1, kJson};
   }
-  if (path == kCheckin) {
+  if (path == kHeartbeatPath) {
     if (!post) co_return error(405, "POST only");
     auto heartbeat = wire::heartbeat(request.body);
     if (auto* why = std::get_if<std::string>(&heartbeat)) co_return error(400, *why);
     Event event = [&](std::uint64_t id) { core_.on_heartbeat(id, std::get<Heartbeat>(heartbeat)); };
     co_return co_await ask(std::move(event), kAnswerWithin);
   }
-  if (path == kWork) {
+  if (path == kJobsPath) {
     if (!post) co_return error(405, "POST only");
     auto spec = wire::job_spec(request.body);
     const auto* why = std::get_if<std::string>(&spec);
@@ -280,10 +280,10 @@
     };
     co_return co_await ask(std::move(event), kAnswerWithin);
   }
-  if (path.starts_with(std::string(kWork) + "/")) {
-    std::string_view rest = path.substr(sizeof kWork);
-    const bool cancel = rest.ends_with(kCancel);
-    if (cancel) rest.remove_suffix(sizeof kCancel - 1);
+  if (path.starts_with(std::string(kJobsPath) + "/")) {
+    std::string_view rest = path.substr(sizeof kJobsPath);
+    const bool cancel = rest.ends_with(kCancelSuffix);
+    if (cancel) rest.remove_suffix(sizeof kCancelSuffix - 1);
     const std::string id(rest);
     if (!wire::is_job_id(id)) co_return error(404, "no such job");
     if (cancel ? !post : !get) co_return error(405, cancel ? "POST only" : "GET only");
--- a/src/wire/wire.cpp
+++ b/src/wire/wire.cpp
@@ -167,13 +167,13 @@
   Heartbeat r;
   r.machine = name(v, kMachine);
   r.address = name(v, kAddress);
-  r.type = name(v, kType);
+  r.type = name(v, kMachineType);
   r.zone = name(v, kZone);
   r.spot = flag(v, kSpot, false);
-  r.incarnation = count(v, kSession);
-  r.sequence_number = count(v, kSequence);
-  r.fencing_token = count(v, kToken);
-  if (find(v, kNotice) != nullptr) r.preemption_notice = span(v, kNotice);
+  r.incarnation = count(v, kIncarnation);
+  r.sequence_number = count(v, kSequenceNumber);
+  r.fencing_token = count(v, kFencingToken);
+  if (find(v, kPreemptionNotice) != nullptr) r.preemption_notice = span(v, kPreemptionNotice);
   const json& tasks = need(v, kTasks);
   if (!tasks.is_array()) fail(kTasks, "must be a list");
   for (const json& t : tasks) {
@@ -208,7 +208,7 @@
   json out = json::array();
   for (const Command& o : commands) {
     json entry = {{kVerb, text_of(o.kind, kVerbs)}, {kTask, task_name(o.task)}, {kAttempt, o.attempt}};
-    if (o.kind == Command::Kind::stop) entry[kGrace] = in_seconds(o.grace);
+    if (o.kind == Command::Kind::stop) entry[kGracePeriod] = in_seconds(o.grace);
     out.push_back(std::move(entry));
   }
   return out;
@@ -217,7 +217,7 @@
 }  // namespace
 
 bool is_job_id(std::string_view id) {
-  const std::string_view prefix = kJobPrefix;
+  const std::string_view prefix = kJobIdPrefix;
   if (!id.starts_with(prefix) || id.size() <= prefix.size() || id.size() > 64) return false;
   return id.find_first_not_of("0123456789", prefix.size()) == std::string_view::npos;
 }
@@ -229,7 +229,7 @@
     JobSpec s;
     s.id = name(v, kUid);
     if (!is_job_id(s.id)) fail(kUid, "not a job id");
-    s.job_class = name(v, kClass);
+    s.job_class = name(v, kJobClass);
     s.team = name(v, kTeam);
     s.shape = one_of(v, kShape, kShapes);
     s.priority = one_of(v, kPriority, kPriorities);
@@ -238,14 +238,14 @@
     s.tasks = static_cast<std::uint32_t>(tasks);
     s.each = resources(v, true);
     if (s.each.cpu <= 0) fail(kCpus, "out of range");
-    if (const json* types = find(v, kTypes)) {
-      if (!types->is_array() || types->size() > kMostTypes) fail(kTypes, "must be a list of names");
+    if (const json* types = find(v, kMachineTypes)) {
+      if (!types->is_array() || types->size() > kMostTypes) fail(kMachineTypes, "must be a list of names");
       for (const json& t : *types) {
         if (!t.is_string() || t.get_ref<const std::string&>().size() > kLongestName)
-          fail(kTypes, "must be a list of names");
+          fail(kMachineTypes, "must be a list of names");
         s.types.push_back(t.get<std::string>());
       }
-      if (s.types.empty()) fail(kTypes, "empty");
+      if (s.types.empty()) fail(kMachineTypes, "empty");
     }
     if (find(v, kZone) != nullptr) s.zone = name(v, kZone);
     s.one_zone = flag(v, kOneZone, false);
@@ -277,7 +277,7 @@
 std::string body_of(const JobSpec& s) {
   auto units = [](std::int64_t n) { return static_cast<double>(n) / 1000.0; };
   json v = {{kUid, s.id},
-            {kClass, s.job_class},
+            {kJobClass, s.job_class},
             {kTeam, s.team},
             {kShape, text_of(s.shape, kShapes)},
             {kPriority, text_of(s.priority, kPriorities)},
@@ -287,7 +287,7 @@
             {kMemory, units(s.each.memory)},
             {kImage, s.image},
             {kImageGb, s.image_gb},
-            {kTypes, s.types.empty() ? json() : json(s.types)},
+            {kMachineTypes, s.types.empty() ? json() : json(s.types)},
             {kZone, s.zone ? json(*s.zone) : json()},
             {kOneZone, s.one_zone},
             {kSpread, s.spread},
@@ -312,14 +312,14 @@
   }
   json v = {{kMachine, r.machine},
             {kAddress, r.address},
-            {kType, r.type},
+            {kMachineType, r.type},
             {kZone, r.zone},
             {kSpot, r.spot},
-            {kSession, r.incarnation},
-            {kSequence, r.sequence_number},
-            {kToken, r.fencing_token.value()},
+            {kIncarnation, r.incarnation},
+            {kSequenceNumber, r.sequence_number},
+            {kFencingToken, r.fencing_token.value()},
             {kTasks, std::move(tasks)}};
-  if (r.preemption_notice) v[kNotice] = in_seconds(*r.preemption_notice);
+  if (r.preemption_notice) v[kPreemptionNotice] = in_seconds(*r.preemption_notice);
   return v.dump();
 }
 
@@ -331,7 +331,7 @@
 
 std::string body_of(const HeartbeatReply& r) {
   if (r.status == 200)
-    return json{{kToken, r.fencing_token.value()}, {kCommandList, commands_json(r.commands)}}.dump();
+    return json{{kFencingToken, r.fencing_token.value()}, {kCommands, commands_json(r.commands)}}.dump();
   if (!r.redirect.empty()) return json{{kRedirect, r.redirect}}.dump();
   return "{}";
 }
@@ -340,15 +340,18 @@
 
 HttpRequest request_of(const StoreRequest& request) {
   struct Visitor {
-    HttpRequest operator()(const GetKey& r) { return {"GET", std::string(kKeys) + "/" + escaped(r.key), ""}; }
+    HttpRequest operator()(const GetKey& r) {
+      return {"GET", std::string(kKeysPath) + "/" + escaped(r.key), ""};
+    }
     HttpRequest operator()(const ListPrefix& r) {
-      std::string target = std::string(kKeys) + "?" + kUnder + "=" + escaped(r.prefix);
-      if (!r.after.empty()) target += std::string("&") + kFrom + "=" + escaped(r.after);
-      return {"GET", target + "&" + kMost + "=1000", ""};
+      std::string target = std::string(kKeysPath) + "?" + kPrefix + "=" + escaped(r.prefix);
+      if (!r.after.empty()) target += std::string("&") + kAfter + "=" + escaped(r.after);
+      return {"GET", target + "&" + kLimit + "=1000", ""};
     }
     HttpRequest operator()(const Transaction& r) {
       json compares = json::array(), writes = json::array();
-      for (const Compare& c : r.compares) compares.push_back({{kKey, c.key}, {kStamp, c.revision.value()}});
+      for (const Compare& c : r.compares)
+        compares.push_back({{kKey, c.key}, {kRevision, c.revision.value()}});
       for (const Write& w : r.writes) {
         if (!w.value) {
           writes.push_back({{kRemove, w.key}});
@@ -358,13 +361,14 @@
         if (w.lease != 0) entry[kLease] = w.lease.value();
         writes.push_back(std::move(entry));
       }
-      return {"POST", kMulti, json{{kWhen, std::move(compares)}, {kWrites, std::move(writes)}}.dump()};
+      return {"POST", kTransactionPath,
+              json{{kCompares, std::move(compares)}, {kWrites, std::move(writes)}}.dump()};
     }
     HttpRequest operator()(const GrantLease& r) {
-      return {"POST", kLeases, json{{kTtl, r.term.count() / 1000}}.dump()};
+      return {"POST", kLeasesPath, json{{kTtl, r.term.count() / 1000}}.dump()};
     }
     HttpRequest operator()(const RenewLease& r) {
-      return {"POST", std::string(kLeases) + "/" + to_string(r.lease) + kRenew, "{}"};
+      return {"POST", std::string(kLeasesPath) + "/" + to_string(r.lease) + kRenewSuffix, "{}"};
     }
   };
   return std::visit(Visitor{}, request);
@@ -383,12 +387,12 @@
     object(v);
     if (status == 404) {
       out.outcome = StoreResponse::Outcome::absent;
-      if (find(v, kEpoch) != nullptr) out.revision = count(v, kEpoch);
+      if (find(v, kStoreRevision) != nullptr) out.revision = count(v, kStoreRevision);
       return out;
     }
     if (status == 409) {
       out.outcome = StoreResponse::Outcome::conflict;
-      if (const json* failed = find(v, kFailed); failed != nullptr && failed->is_array())
+      if (const json* failed = find(v, kFailedCompares); failed != nullptr && failed->is_array())
         for (const json& key : *failed)
           if (key.is_string()) out.failed.push_back(key.get<std::string>());
       return out;
@@ -404,18 +408,18 @@
     if (status != 200) return out;
     auto entry = [](const json& r) {
       object(r);
-      return KeyValue{name(r, kKey), r.at(kValue), count(r, kStamp)};
+      return KeyValue{name(r, kKey), r.at(kValue), count(r, kRevision)};
     };
     if (std::holds_alternative<GetKey>(request)) {
       out.entries.push_back(entry(v));
     } else if (std::holds_alternative<ListPrefix>(request)) {
-      const json& entries = need(v, kRows);
-      if (!entries.is_array()) fail(kRows, "must be a list");
+      const json& entries = need(v, kEntries);
+      if (!entries.is_array()) fail(kEntries, "must be a list");
       for (const json& r : entries) out.entries.push_back(entry(r));
       out.more = flag(v, kMore, false);
-      out.revision = count(v, kEpoch);
+      out.revision = count(v, kStoreRevision);
     } else if (std::holds_alternative<Transaction>(request)) {
-      out.revision = count(v, kEpoch);
+      out.revision = count(v, kStoreRevision);
     } else if (std::holds_alternative<GrantLease>(request)) {
       out.lease = count(v, kLease);
     }
@@ -432,22 +436,22 @@
 
 HttpRequest request_of(const CloudRequest& request) {
   struct Visitor {
-    HttpRequest operator()(const ListMachineTypes&) { return {"GET", kCatalog, ""}; }
+    HttpRequest operator()(const ListMachineTypes&) { return {"GET", kMachineTypesPath, ""}; }
     HttpRequest operator()(const CreateMachines& r) {
-      return {"POST", kMachines,
-              json{{kCharter, r.idempotency_key},
-                   {kType, r.type},
+      return {"POST", kMachinesPath,
+              json{{kIdempotencyKey, r.idempotency_key},
+                   {kMachineType, r.type},
                    {kZone, r.zone},
                    {kSpot, r.spot},
                    {kCount, r.count}}
                   .dump()};
     }
     HttpRequest operator()(const DeleteMachines& r) {
-      return {"POST", kMachinesDelete, json{{kMachineList, r.machines}}.dump()};
+      return {"POST", kDeleteMachinesPath, json{{kMachines, r.machines}}.dump()};
     }
     HttpRequest operator()(const ListMachines& r) {
-      std::string target = std::string(kMachines) + "?" + kMost + "=500";
-      if (!r.after.empty()) target += std::string("&") + kFrom + "=" + escaped(r.after);
+      std::string target = std::string(kMachinesPath) + "?" + kLimit + "=500";
+      if (!r.after.empty()) target += std::string("&") + kAfter + "=" + escaped(r.after);
       return {"GET", target, ""};
     }
   };
@@ -476,26 +480,26 @@
     const json v = parse(body);
     object(v);
     if (std::holds_alternative<ListMachineTypes>(request)) {
-      for (const json& t : need(v, kTypes)) {
+      for (const json& t : need(v, kMachineTypes)) {
         MachineType type;
-        type.name = name(t, kLabel);
+        type.name = name(t, kTypeName);
         type.size = resources(t, false);
         type.cache_gb = amount(t, kCacheGb);
-        type.fetch_gb_per_s = amount(t, kFetch);
+        type.fetch_gb_per_s = amount(t, kFetchRate);
         type.price = amount(t, kPrice);
         type.spot_price = find(t, kSpotPrice) != nullptr ? amount(t, kSpotPrice) : 0;
-        type.boot = span(t, kBoot);
+        type.boot = span(t, kBootTime);
         type.zones = need(t, kZones).get<std::vector<std::string>>();
         out.types.push_back(std::move(type));
       }
     } else if (std::holds_alternative<CreateMachines>(request)) {
-      out.names = need(v, kMachineList).get<std::vector<std::string>>();
+      out.names = need(v, kMachines).get<std::vector<std::string>>();
     } else {
-      for (const json& m : need(v, kMachineList)) {
+      for (const json& m : need(v, kMachines)) {
         CloudMachine machine;
         machine.name = name(m, kUid);
         if (find(m, kAddress) != nullptr) machine.address = name(m, kAddress);
-        machine.type = name(m, kType);
+        machine.type = name(m, kMachineType);
         machine.zone = name(m, kZone);
         machine.spot = flag(m, kSpot, false);
         machine.phase = one_of(m, kPhase, kCloudPhases);
@@ -515,10 +519,10 @@
 // ---- workers -------------------------------------------------------------------------------------
 
 HttpRequest request_of(const CommandRequest& r) {
-  return {"POST", kCommands,
-          json{{kToken, r.fencing_token.value()},
-               {kSession, r.incarnation},
-               {kCommandList, commands_json(r.commands)}}
+  return {"POST", kCommandsPath,
+          json{{kFencingToken, r.fencing_token.value()},
+               {kIncarnation, r.incarnation},
+               {kCommands, commands_json(r.commands)}}
               .dump()};
 }
 
--- a/tests/sim/services.cpp
+++ b/tests/sim/services.cpp
@@ -58,9 +58,9 @@
     ++refused_;
     return {429, "{}"};
   }
-  if (r.method == "GET" && r.target.starts_with(std::string(kKeys) + "?")) {
-    const std::string prefix = parameter(r.target, kUnder), from = parameter(r.target, kFrom);
-    const auto most = std::stoul(parameter(r.target, kMost));
+  if (r.method == "GET" && r.target.starts_with(std::string(kKeysPath) + "?")) {
+    const std::string prefix = parameter(r.target, kPrefix), from = parameter(r.target, kAfter);
+    const auto most = std::stoul(parameter(r.target, kLimit));
     json entries = json::array();
     bool more = false;
     for (auto it = data_.lower_bound(prefix); it != data_.end() && it->first.starts_with(prefix); ++it) {
@@ -69,24 +69,24 @@
         more = true;
         break;
       }
-      entries.push_back({{kKey, it->first}, {kValue, it->second.value}, {kStamp, it->second.revision}});
+      entries.push_back({{kKey, it->first}, {kValue, it->second.value}, {kRevision, it->second.revision}});
     }
-    return {200, json{{kRows, entries}, {kMore, more}, {kEpoch, revision_}}.dump()};
+    return {200, json{{kEntries, entries}, {kMore, more}, {kStoreRevision, revision_}}.dump()};
   }
   if (r.method == "GET") {
-    const std::string key = key_in_path(r.target, kKeys);
+    const std::string key = key_in_path(r.target, kKeysPath);
     auto it = data_.find(key);
-    if (it == data_.end()) return {404, json{{kEpoch, revision_}}.dump()};
-    return {200, json{{kKey, key}, {kValue, it->second.value}, {kStamp, it->second.revision}}.dump()};
+    if (it == data_.end()) return {404, json{{kStoreRevision, revision_}}.dump()};
+    return {200, json{{kKey, key}, {kValue, it->second.value}, {kRevision, it->second.revision}}.dump()};
   }
-  if (r.target == kMulti) return multi(json::parse(r.body), now);
-  if (r.target == kLeases) {
+  if (r.target == kTransactionPath) return multi(json::parse(r.body), now);
+  if (r.target == kLeasesPath) {
     const Micros term = millis(json::parse(r.body).at(kTtl).get<std::int64_t>());
     leases_[next_lease_] = {term, now + term};
     return {200, json{{kLease, next_lease_++}}.dump()};
   }
-  if (r.target.ends_with(kRenew)) {
-    auto it = leases_.find(std::stoull(key_in_path(r.target, kLeases)));
+  if (r.target.ends_with(kRenewSuffix)) {
+    auto it = leases_.find(std::stoull(key_in_path(r.target, kLeasesPath)));
     if (it == leases_.end()) return {404, "{}"};
     it->second.until = now + it->second.term;
     return {200, "{}"};
@@ -119,7 +119,7 @@
 
 Response StateService::multi(const json& body, Micros now) {
   const json& writes = body.at(kWrites);
-  if (writes.size() > most_writes_ || body.at(kWhen).size() > 4 * most_writes_) {
+  if (writes.size() > most_writes_ || body.at(kCompares).size() > 4 * most_writes_) {
     ++too_large_;
     return {400, "{}"};
   }
@@ -136,12 +136,12 @@
       return {400, json{{kError, "no such lease"}}.dump()};
   }
   json failed = json::array();
-  for (const json& c : body.at(kWhen)) {
+  for (const json& c : body.at(kCompares)) {
     auto it = data_.find(c.at(kKey).get<std::string>());
     const std::uint64_t revision = it == data_.end() ? 0 : it->second.revision;
-    if (revision != c.at(kStamp).get<std::uint64_t>()) failed.push_back(c.at(kKey));
+    if (revision != c.at(kRevision).get<std::uint64_t>()) failed.push_back(c.at(kKey));
   }
-  if (!failed.empty()) return {409, json{{kFailed, failed}, {kEpoch, revision_}}.dump()};
+  if (!failed.empty()) return {409, json{{kFailedCompares, failed}, {kStoreRevision, revision_}}.dump()};
   if (!writes.empty()) ++revision_;
   for (const json& w : writes) {
     if (w.contains(kPut))
@@ -149,7 +149,7 @@
     else
       data_.erase(w.at(kRemove).get<std::string>());
   }
-  return {200, json{{kEpoch, revision_}}.dump()};
+  return {200, json{{kStoreRevision, revision_}}.dump()};
 }
 
 // ---- cloud ---------------------------------------------------------------------------------------
@@ -181,35 +181,35 @@
 
 Response Cloud::handle(const wire::HttpRequest& r, Micros now) {
   if (out_) return {503, json{{kError, "trouble"}}.dump()};
-  if (r.target == kCatalog) {
+  if (r.target == kMachineTypesPath) {
     json types = json::array();
     for (const MachineType& t : types_)
-      types.push_back({{kLabel, t.name},
+      types.push_back({{kTypeName, t.name},
                        {kCpus, static_cast<double>(t.size.cpu) / 1000},
                        {kGpus, 0},
                        {kMemory, static_cast<double>(t.size.memory) / 1000},
                        {kCacheGb, t.cache_gb},
-                       {kFetch, t.fetch_gb_per_s},
+                       {kFetchRate, t.fetch_gb_per_s},
                        {kPrice, t.price},
                        {kSpotPrice, t.spot_price},
-                       {kBoot, in_seconds(t.boot)},
+                       {kBootTime, in_seconds(t.boot)},
                        {kZones, t.zones}});
-    return {200, json{{kTypes, types}}.dump()};
+    return {200, json{{kMachineTypes, types}}.dump()};
   }
-  if (r.method == "POST" && r.target == kMachines) {
+  if (r.method == "POST" && r.target == kMachinesPath) {
     const json body = json::parse(r.body);
-    const auto idempotency_key = body.at(kCharter).get<std::string>();
+    const auto idempotency_key = body.at(kIdempotencyKey).get<std::string>();
     if (auto it = idempotency_keys_.find(idempotency_key); it != idempotency_keys_.end())
       return {200, it->second};
     json names = json::array();
     for (int i = 0; i < body.at(kCount).get<int>() && static_cast<int>(machines_.size()) < capacity_; ++i)
-      names.push_back(add(body.at(kType), body.at(kZone), body.at(kSpot), now).name);
+      names.push_back(add(body.at(kMachineType), body.at(kZone), body.at(kSpot), now).name);
     if (names.empty()) return {503, json{{kError, "no capacity"}}.dump()};
-    return {200, idempotency_keys_[idempotency_key] = json{{kMachineList, names}}.dump()};
+    return {200, idempotency_keys_[idempotency_key] = json{{kMachines, names}}.dump()};
   }
-  if (r.target == kMachinesDelete) {
+  if (r.target == kDeleteMachinesPath) {
     const json body = json::parse(r.body);
-    for (const json& name : body.at(kMachineList)) {
+    for (const json& name : body.at(kMachines)) {
       auto it = machines_.find(name.get<std::string>());
       if (it == machines_.end()) continue;
       die(it->second);
@@ -221,12 +221,12 @@
   for (const auto& [name, m] : machines_)
     entries.push_back({{kUid, name},
                        {kAddress, m.address},
-                       {kType, m.type},
+                       {kMachineType, m.type},
                        {kZone, m.zone},
                        {kSpot, m.spot},
                        {kPhase, "running"},
                        {kAge, in_seconds(now - m.rented)}});
-  return {200, json{{kMachineList, entries}, {kMore, false}}.dump()};
+  return {200, json{{kMachines, entries}, {kMore, false}}.dump()};
 }
 
 // ---- worker --------------------------------------------------------------------------------------
@@ -349,21 +349,22 @@
   reporting_ = false;
   if (sent_session_ != session_) return;
   const json v = json::parse(body);
-  const auto fencing_token = v.value(kToken, std::uint64_t{0});
+  const auto fencing_token = v.value(kFencingToken, std::uint64_t{0});
   if (fencing_token < token_) return;
   if (fencing_token > token_) changed_ = true;
   token_ = fencing_token;
   renewed_ = std::max(renewed_, sent_);
-  execute(v.at(kCommandList), now);
+  execute(v.at(kCommands), now);
 }
 
 Response Worker::orders(const std::string& body, Micros now) {
   const json v = json::parse(body);
-  if (v.at(kToken).get<std::uint64_t>() < token_ || v.at(kSession).get<std::uint64_t>() != session_)
+  if (v.at(kFencingToken).get<std::uint64_t>() < token_ ||
+      v.at(kIncarnation).get<std::uint64_t>() != session_)
     return {409, wire::body_of(status(now))};
-  if (v.at(kToken).get<std::uint64_t>() > token_) changed_ = true;
-  token_ = v.at(kToken).get<std::uint64_t>();
-  execute(v.at(kCommandList), now);
+  if (v.at(kFencingToken).get<std::uint64_t>() > token_) changed_ = true;
+  token_ = v.at(kFencingToken).get<std::uint64_t>();
+  execute(v.at(kCommands), now);
   return {200, wire::body_of(status(now))};
 }
 
@@ -384,11 +385,11 @@
     } else if (it->second.phase != TaskPhase::exited) {
       const JobSpec* job = hooks_.job(key.first.job);
       const bool saves = it->second.phase == TaskPhase::running && job->checkpoint.count() > 0 &&
-                         seconds(o.at(kGrace).get<double>()) >= job->save;
+                         seconds(o.at(kGracePeriod).get<double>()) >= job->save;
       if (saves) {
         it->second.phase = TaskPhase::saving;
         it->second.until = now + job->save;
-      } else if (it->second.phase != TaskPhase::saving || o.at(kGrace).get<double>() == 0) {
+      } else if (it->second.phase != TaskPhase::saving || o.at(kGracePeriod).get<double>() == 0) {
         leave(key, it->second);
         it->second = {TaskPhase::exited, ExitCause::stopped, now};
       }
