--- a/src/http/message.cpp
+++ b/src/http/message.cpp
@@ -7,101 +7,223 @@
 
 namespace {
 
+constexpr std::string_view kLineEnd = "\r\n";
+constexpr std::string_view kHeadEnd = "\r\n\r\n";
+
 char lower(char c) { return c >= 'A' && c <= 'Z' ? static_cast<char>(c - 'A' + 'a') : c; }
 
-bool same_word(std::string_view a, std::string_view b) {
+bool equals_ignoring_case(std::string_view a, std::string_view b) {
   return std::equal(a.begin(), a.end(), b.begin(), b.end(),
                     [](char x, char y) { return lower(x) == lower(y); });
 }
 
-std::string_view trim(std::string_view s) {
-  while (!s.empty() && (s.front() == ' ' || s.front() == '\t')) s.remove_prefix(1);
-  while (!s.empty() && (s.back() == ' ' || s.back() == '\t')) s.remove_suffix(1);
-  return s;
+std::string_view trim(std::string_view text) {
+  while (!text.empty() && (text.front() == ' ' || text.front() == '\t')) text.remove_prefix(1);
+  while (!text.empty() && (text.back() == ' ' || text.back() == '\t')) text.remove_suffix(1);
+  return text;
 }
 
-bool is_token(std::string_view s) {
+/// RFC 9110, 5.6.2
+bool is_token(std::string_view text) {
   constexpr std::string_view marks = "!#$%&'*+-.^_`|~";
-  return !s.empty() && std::all_of(s.begin(), s.end(), [&](char c) {
+  return !text.empty() && std::all_of(text.begin(), text.end(), [&](char c) {
     return (c >= '0' && c <= '9') || (lower(c) >= 'a' && lower(c) <= 'z') ||
            marks.find(c) != std::string_view::npos;
   });
 }
 
 /// A whole number with nothing around it.
-std::optional<std::size_t> number(std::string_view s, int base) {
-  std::size_t n = 0;
-  if (s.empty()) return std::nullopt;
-  auto [p, ec] = std::from_chars(s.data(), s.data() + s.size(), n, base);
-  if (ec != std::errc{} || p != s.data() + s.size()) return std::nullopt;
-  return n;
+std::optional<std::size_t> parse_number(std::string_view text, int base) {
+  std::size_t number = 0;
+  if (text.empty()) return std::nullopt;
+  const char* const end = text.data() + text.size();
+  const auto [rest, error] = std::from_chars(text.data(), end, number, base);
+  if (error != std::errc{} || rest != end) return std::nullopt;
+  return number;
 }
 
 Parse malformed(int status) {
-  Parse out;
-  out.state = Parse::State::malformed;
-  out.status = status;
-  return out;
+  Parse parse;
+  parse.state = Parse::State::malformed;
+  parse.status = status;
+  return parse;
 }
 
-bool start_line(std::string_view line, Kind kind, Message& m) {
-  const auto first = line.find(' ');
-  if (first == std::string_view::npos) return false;
-  std::string_view version;
-  if (kind == Kind::request) {
+/// What stands before the body.
+struct Head {
+  Message message;
+  std::optional<std::size_t> content_length;
+  bool chunked = false;
+};
+
+/// Takes the lines of a head one by one.
+class Lines {
+ public:
+  explicit Lines(std::string_view text) : rest_(text) {}
+
+  bool at_end() const { return rest_.empty(); }
+  std::string_view next() {
+    const auto end = rest_.find(kLineEnd);
+    const std::string_view line = rest_.substr(0, end);
+    rest_ = end == std::string_view::npos ? std::string_view{} : rest_.substr(end + kLineEnd.size());
+    return line;
+  }
+
+ private:
+  std::string_view rest_;
+};
+
+bool is_target(std::string_view target) {
+  return !target.empty() && target.front() == '/' && std::all_of(target.begin(), target.end(), [](char c) {
+    return static_cast<unsigned char>(c) > ' ' && c != 127;
+  });
+}
+
+class HeadParser {
+ public:
+  /// Null if malformed.
+  std::optional<Head> parse(std::string_view text, Kind kind) {
+    Lines lines(text);
+    const std::string_view first = lines.next();
+    if (!(kind == Kind::request ? read_request_line(first) : read_status_line(first))) return std::nullopt;
+    while (!lines.at_end())
+      if (!read_header(lines.next())) return std::nullopt;
+    if (head_.chunked && head_.content_length) return std::nullopt;
+    return std::move(head_);
+  }
+
+ private:
+  // All of these return false if what they read is malformed.
+
+  bool read_version(std::string_view version) {
+    if (version != "HTTP/1.1" && version != "HTTP/1.0") return false;
+    head_.message.keep_alive = version == "HTTP/1.1";
+    return true;
+  }
+
+  /// METHOD TARGET VERSION
+  bool read_request_line(std::string_view line) {
+    const auto first = line.find(' ');
+    if (first == std::string_view::npos) return false;
     const auto second = line.find(' ', first + 1);
     if (second == std::string_view::npos) return false;
-    m.method = line.substr(0, first);
-    m.target = line.substr(first + 1, second - first - 1);
-    version = line.substr(second + 1);
-    if (!is_token(m.method) || m.target.empty() || m.target.front() != '/') return false;
-    for (char c : m.target)
-      if (static_cast<unsigned char>(c) <= ' ' || c == 127) return false;
-  } else {
-    version = line.substr(0, first);
-    auto status = number(line.substr(first + 1, 3), 10);
+    head_.message.method = line.substr(0, first);
+    head_.message.target = line.substr(first + 1, second - first - 1);
+    if (!is_token(head_.message.method) || !is_target(head_.message.target)) return false;
+    return read_version(line.substr(second + 1));
+  }
+
+  /// VERSION STATUS REASON
+  bool read_status_line(std::string_view line) {
+    const auto first = line.find(' ');
+    if (first == std::string_view::npos) return false;
+    const auto status = parse_number(line.substr(first + 1, 3), 10);
     if (!status || *status < 100 || *status > 599) return false;
-    m.status = static_cast<int>(*status);
+    head_.message.status = static_cast<int>(*status);
+    return read_version(line.substr(0, first));
   }
-  if (version != "HTTP/1.1" && version != "HTTP/1.0") return false;
-  m.keep_alive = version == "HTTP/1.1";
-  return true;
-}
 
-/// The body in chunks, from `pos` on; `pos` is moved behind it.
-Parse::State chunked(std::string_view text, std::size_t& pos, std::string& body, const Limits& limits,
-                     int& status) {
-  for (;;) {
-    const auto eol = text.find("\r\n", pos);
-    if (eol == std::string_view::npos)
-      return text.size() - pos > limits.head ? Parse::State::malformed : Parse::State::incomplete;
-    std::string_view line = text.substr(pos, eol - pos);
-    auto size = number(trim(line.substr(0, line.find(';'))), 16);
-    if (!size) return Parse::State::malformed;
-    if (*size > limits.body || body.size() + *size > limits.body) {
-      status = 413;
-      return Parse::State::malformed;
+  /// The headers that tell the length of the body and the life of the connection.
+  bool interpret_header(std::string_view name, std::string_view value) {
+    if (name == "content-length") {
+      const auto length = parse_number(value, 10);
+      if (!length || (head_.content_length && *head_.content_length != *length)) return false;
+      head_.content_length = length;
+    } else if (name == "transfer-encoding") {
+      if (!equals_ignoring_case(value, "chunked")) return false;
+      head_.chunked = true;
+    } else if (name == "connection") {
+      if (equals_ignoring_case(value, "close")) head_.message.keep_alive = false;
+      if (equals_ignoring_case(value, "keep-alive")) head_.message.keep_alive = true;
     }
-    pos = eol + 2;
-    if (*size == 0) break;
-    if (text.size() < pos + *size + 2) return Parse::State::incomplete;
-    body.append(text.substr(pos, *size));
-    pos += *size;
-    if (text.substr(pos, 2) != "\r\n") return Parse::State::malformed;
-    pos += 2;
+    return true;
   }
-  // Trailers, which nobody here wants, up to an empty line.
-  for (;;) {
-    const auto eol = text.find("\r\n", pos);
-    if (eol == std::string_view::npos)
-      return text.size() - pos > limits.head ? Parse::State::malformed : Parse::State::incomplete;
-    const bool last = eol == pos;
-    pos = eol + 2;
-    if (last) return Parse::State::complete;
+
+  bool read_header(std::string_view line) {
+    const auto colon = line.find(':');
+    if (colon == std::string_view::npos || !is_token(line.substr(0, colon))) return false;
+    std::string name(line.substr(0, colon));
+    std::transform(name.begin(), name.end(), name.begin(), lower);
+    const std::string_view value = trim(line.substr(colon + 1));
+    if (!interpret_header(name, value)) return false;
+    head_.message.headers.emplace_back(std::move(name), std::string(value));
+    return true;
   }
+
+  Head head_;
+};
+
+/// Reads a body, which begins at a position in a text that may end before it.
+class BodyReader {
+ public:
+  BodyReader(std::string_view text, std::size_t position, const Limits& limits)
+      : text_(text), position_(position), limits_(limits) {}
+
+  Parse::State read_chunks() {
+    for (;;) {
+      const auto end = text_.find(kLineEnd, position_);
+      if (end == std::string_view::npos) return missing_line_end();
+      const std::string_view line = text_.substr(position_, end - position_);
+      const auto size = parse_number(trim(line.substr(0, line.find(';'))), 16);
+      if (!size) return Parse::State::malformed;
+      if (*size > limits_.body || body_.size() + *size > limits_.body) return too_large();
+      position_ = end + kLineEnd.size();
+      if (*size == 0) return skip_trailers();
+      if (text_.size() < position_ + *size + kLineEnd.size()) return Parse::State::incomplete;
+      body_.append(text_.substr(position_, *size));
+      position_ += *size;
+      if (text_.substr(position_, kLineEnd.size()) != kLineEnd) return Parse::State::malformed;
+      position_ += kLineEnd.size();
+    }
+  }
+
+  Parse::State read_length(std::size_t length) {
+    if (length > limits_.body) return too_large();
+    if (text_.size() - position_ < length) return Parse::State::incomplete;
+    body_ = text_.substr(position_, length);
+    position_ += length;
+    return Parse::State::complete;
+  }
+
+  /// Behind what was read.
+  std::size_t position() const { return position_; }
+  /// What to answer if the body is malformed.
+  int status() const { return status_; }
+  std::string take_body() { return std::move(body_); }
+
+ private:
+  /// Nobody here reads trailers; they end with an empty line.
+  Parse::State skip_trailers() {
+    for (;;) {
+      const auto end = text_.find(kLineEnd, position_);
+      if (end == std::string_view::npos) return missing_line_end();
+      const bool is_last = end == position_;
+      position_ = end + kLineEnd.size();
+      if (is_last) return Parse::State::complete;
+    }
+  }
+  Parse::State missing_line_end() const {
+    return text_.size() - position_ > limits_.head ? Parse::State::malformed : Parse::State::incomplete;
+  }
+  Parse::State too_large() {
+    status_ = 413;
+    return Parse::State::malformed;
+  }
+
+  std::string_view text_;
+  std::size_t position_;
+  const Limits& limits_;
+  std::string body_;
+  int status_ = 400;
+};
+
+Parse::State read_body(const Head& head, BodyReader& reader) {
+  if (head.chunked) return reader.read_chunks();
+  if (head.content_length) return reader.read_length(*head.content_length);
+  return Parse::State::complete;
 }
 
-const char* reason(int status) {
+const char* reason_phrase(int status) {
   switch (status) {
     case 200:
       return "OK";
@@ -137,65 +259,27 @@
 }
 
 Parse parse(std::string_view text, Kind kind, const Limits& limits) {
-  Parse out;
-  const auto head_end = text.find("\r\n\r\n");
-  if (head_end == std::string_view::npos) return text.size() > limits.head ? malformed(431) : out;
+  const auto head_end = text.find(kHeadEnd);
+  if (head_end == std::string_view::npos) return text.size() > limits.head ? malformed(431) : Parse{};
   if (head_end > limits.head) return malformed(431);
+  std::optional<Head> head = HeadParser().parse(text.substr(0, head_end), kind);
+  if (!head) return malformed(400);
 
-  std::string_view head = text.substr(0, head_end);
-  auto next_line = [&] {
-    const auto eol = head.find("\r\n");
-    std::string_view line = head.substr(0, eol);
-    head = eol == std::string_view::npos ? std::string_view{} : head.substr(eol + 2);
-    return line;
-  };
-  Message& m = out.message;
-  if (!start_line(next_line(), kind, m)) return malformed(400);
-
-  std::optional<std::size_t> length;
-  bool in_chunks = false;
-  while (!head.empty()) {
-    std::string_view line = next_line();
-    const auto colon = line.find(':');
-    if (colon == std::string_view::npos || !is_token(line.substr(0, colon))) return malformed(400);
-    std::string name(line.substr(0, colon));
-    std::transform(name.begin(), name.end(), name.begin(), lower);
-    std::string_view value = trim(line.substr(colon + 1));
-    if (name == "content-length") {
-      auto n = number(value, 10);
-      if (!n || (length && *length != *n)) return malformed(400);
-      length = n;
-    } else if (name == "transfer-encoding") {
-      if (!same_word(value, "chunked")) return malformed(400);
-      in_chunks = true;
-    } else if (name == "connection") {
-      if (same_word(value, "close")) m.keep_alive = false;
-      if (same_word(value, "keep-alive")) m.keep_alive = true;
-    }
-    m.headers.emplace_back(std::move(name), std::string(value));
+  BodyReader reader(text, head_end + kHeadEnd.size(), limits);
+  switch (read_body(*head, reader)) {
+    case Parse::State::incomplete:
+      return Parse{};
+    case Parse::State::malformed:
+      return malformed(reader.status());
+    case Parse::State::complete:
+      break;
   }
-  if (in_chunks && length) return malformed(400);
-
-  std::size_t pos = head_end + 4;
-  if (in_chunks) {
-    int status = 400;
-    switch (chunked(text, pos, m.body, limits, status)) {
-      case Parse::State::incomplete:
-        return Parse{};
-      case Parse::State::malformed:
-        return malformed(status);
-      case Parse::State::complete:
-        break;
-    }
-  } else if (length) {
-    if (*length > limits.body) return malformed(413);
-    if (text.size() - pos < *length) return Parse{};
-    m.body = text.substr(pos, *length);
-    pos += *length;
-  }
-  out.consumed = pos;
-  out.state = Parse::State::complete;
-  return out;
+  Parse parse;
+  parse.state = Parse::State::complete;
+  parse.consumed = reader.position();
+  parse.message = std::move(head->message);
+  parse.message.body = reader.take_body();
+  return parse;
 }
 
 std::string write_request(std::string_view method, std::string_view target, std::string_view host,
@@ -213,7 +297,11 @@
                            std::string_view type) {
   std::string out;
   out.reserve(160 + body.size());
-  out.append("HTTP/1.1 ").append(std::to_string(status)).append(" ").append(reason(status)).append("\r\n");
+  out.append("HTTP/1.1 ")
+      .append(std::to_string(status))
+      .append(" ")
+      .append(reason_phrase(status))
+      .append("\r\n");
   out.append("Content-Type: ")
       .append(type)
       .append("\r\nContent-Length: ")
