--- a/src/app/config.cpp
+++ b/src/app/config.cpp
@@ -7,165 +7,139 @@
 #include <set>
 #include <sstream>
 
+#include "app/config_section.h"
+
 namespace bendtide {
 
 namespace {
 
-/// One table of the file, with the path that error messages name.
-class Section {
- public:
-  Section(const toml::table& table, std::string path) : table_(table), path_(std::move(path)) {}
+/// Rounded down, but for the error of a decimal's binary form.
+std::int64_t to_thousandths(double amount) {
+  return static_cast<std::int64_t>(std::floor(amount * 1000.0 + 1e-6));
+}
 
-  std::string text(const char* field) const {
-    auto v = table_[field].value<std::string>();
-    if (!v) fail(field, table_.contains(field) ? "must be a string" : "missing");
-    if (v->empty()) fail(field, "is empty");
-    return *v;
-  }
-  std::string address(const char* field) const {
-    std::string v = text(field);
-    const auto colon = v.rfind(':');
-    if (colon == std::string::npos || colon == 0 || colon + 1 == v.size() ||
-        v.find_first_not_of("0123456789", colon + 1) != std::string::npos)
-      fail(field, "must be HOST:PORT");
-    return v;
+/// Reads the file section by section, in the order of the file: the error names the first
+/// key that does not fit.
+class SettingsReader {
+ public:
+  Settings read(const ConfigSection& top) {
+    read_addresses(top);
+    const ConfigSection settings = top.section("settings");
+    settings_.zones = settings.names("zones");
+    read_teams(settings);
+    settings.each("objectives", [&](const ConfigSection& objective) { read_objective(objective); });
+    read_workers(settings.section("workers"));
+    read_store(settings.section("state"));
+    read_cloud(settings.section("cloud"));
+    settings_.sockets =
+        static_cast<std::size_t>(settings.section("machine_limits").number("sockets", 32, 1e7));
+    return std::move(settings_);
   }
-  double number(const char* field, double low, double high) const {
-    auto v = table_[field].value<double>();
-    if (!v) fail(field, table_.contains(field) ? "must be a number" : "missing");
-    if (!std::isfinite(*v) || *v < low || *v > high) fail(field, "out of range");
-    return *v;
+
+ private:
+  void read_addresses(const ConfigSection& top) {
+    settings_.host = top.text("host_name");
+    settings_.zone = top.text("domain");
+    settings_.api_address = top.address("api_addr");
+    settings_.internal_address = top.address("internal_addr");
+    std::set<std::string> hosts{settings_.host};
+    top.each("known", [&](const ConfigSection& section) {
+      Peer peer{section.text("host_name"), section.text("domain"), section.address("endpoint")};
+      if (!hosts.insert(peer.host).second) section.fail("host_name", "named twice");
+      check_host_name(section, peer.host);
+      settings_.peers.push_back(std::move(peer));
+    });
+    check_host_name(top, settings_.host);
+    const ConfigSection external = top.section("external");
+    settings_.cloud_address = external.address("cloud");
+    settings_.store_address = external.address("state");
   }
-  bool has(const char* field) const { return table_.contains(field); }
-  double positive(const char* field) const { return number(field, 1e-6, 1e9); }
-  double amount_or_zero(const char* field) const {
-    return table_.contains(field) ? number(field, 0, 1e9) : 0.0;
+
+  /// Names of hosts become parts of keys in the key-value store.
+  static void check_host_name(const ConfigSection& section, const std::string& host) {
+    if (host.find('/') != std::string::npos) section.fail("host_name", "must not contain '/'");
   }
-  Section section(const char* field) const {
-    const toml::table* t = table_[field].as_table();
-    if (t == nullptr) fail(field, table_.contains(field) ? "must be a table" : "missing");
-    return Section(*t, path_ + field + ".");
+
+  void read_teams(const ConfigSection& settings) {
+    settings.each("teams", [&](const ConfigSection& section) {
+      Team team;
+      team.name = section.text("name");
+      if (settings_.team(team.name) != nullptr) section.fail("name", "named twice");
+      team.guarantee.cpu = to_thousandths(section.amount_or_zero("cpus"));
+      team.guarantee.gpu = to_thousandths(section.amount_or_zero("gpus"));
+      team.limit.cpu = to_thousandths(section.amount_or_zero("cpus_max"));
+      team.limit.gpu = to_thousandths(section.amount_or_zero("gpus_max"));
+      // "0 means none": a team with neither guarantee nor limit, a guest, may use all that is free.
+      if (team.limit == Quota{}) team.limit = kNoLimit;
+      settings_.teams.push_back(std::move(team));
+    });
+    if (settings_.teams.empty()) settings.fail("teams", "missing");
   }
-  /// Each table of a list of tables; none if the field is missing.
-  template <class F>
-  void each(const char* field, F&& f) const {
-    if (!table_.contains(field)) return;
-    const toml::array* list = table_[field].as_array();
-    if (list == nullptr) fail(field, "must be a list of tables");
-    std::size_t index = 0;
-    for (const toml::node& node : *list) {
-      const std::string path = path_ + field + "[" + std::to_string(index++) + "].";
-      if (!node.is_table()) throw ConfigError(path + ": must be a table");
-      f(Section(*node.as_table(), path));
+
+  void read_objective(const ConfigSection& section) {
+    Objective objective;
+    objective.kind = section.text("kind");
+    const bool is_deadline = objective.kind == "deadline";
+    const bool is_of_class = is_deadline || objective.kind == "wait" || objective.kind == "finished";
+    const bool is_known = is_of_class || objective.kind == "guarantee";
+    const char* const measure = is_deadline ? "times" : "within_s";
+    if (!is_known || !section.has(measure) || (is_of_class && !section.has("class"))) {
+      // A new kind, one that nothing here is ordered by, or one that is meant otherwise.
+      settings_.ignored_objectives.insert(objective.kind);
+      return;
     }
+    if (is_of_class) objective.job_class = section.text("class");
+    if (is_deadline)
+      objective.times = section.positive(measure);
+    else
+      objective.within = seconds(section.positive(measure));
+    settings_.objectives.push_back(std::move(objective));
   }
-  std::vector<std::string> names(const char* field) const {
-    const toml::array* list = table_[field].as_array();
-    if (list == nullptr) fail(field, table_.contains(field) ? "must be a list" : "missing");
-    std::vector<std::string> out;
-    for (const toml::node& node : *list) {
-      auto v = node.value<std::string>();
-      if (!v) fail(field, "must be a list of strings");
-      out.push_back(*v);
-    }
-    return out;
+
+  void read_workers(const ConfigSection& section) {
+    settings_.heartbeat_interval = seconds(section.positive("report_s"));
+    settings_.worker_lease = seconds(section.positive("lease_s"));
+    settings_.cancel_within = seconds(section.positive("cancel_s"));
+    if (settings_.worker_lease < settings_.heartbeat_interval)
+      section.fail("lease_s", "must not be below report_s");
+    if (settings_.cancel_within <= settings_.worker_lease + seconds(2))
+      section.fail("cancel_s", "must be well above lease_s");
+    if (settings_.cancelled_gone_within() > settings_.cancel_within)
+      section.fail("cancel_s", "a cancelled task could not be gone in time: must be well above lease_s");
   }
-  [[noreturn]] void fail(const std::string& field, const std::string& what) const {
-    throw ConfigError(path_ + field + ": " + what);
+
+  void read_store(const ConfigSection& section) {
+    settings_.store_requests_per_s = section.positive("rps");
+    settings_.store_writes_per_s = section.positive("write_rps");
+    settings_.store_value_bytes = static_cast<std::size_t>(section.number("value_kb", 1, 1e6) * 1024);
+    settings_.store_transaction_writes = static_cast<std::size_t>(section.number("txn_ops", 4, 1e6));
   }
 
- private:
-  const toml::table& table_;
-  std::string path_;
-};
+  void read_cloud(const ConfigSection& section) {
+    settings_.cloud_calls_per_s = section.positive("rps");
+    settings_.cloud_list_lag = seconds(section.number("list_lag_s", 0, 3600));
+  }
 
-std::int64_t thousandths(double d) { return static_cast<std::int64_t>(std::floor(d * 1000.0 + 1e-6)); }
-
-Settings read(const Section& top) {
-  Settings s;
-  s.host = top.text("host_name");
-  s.zone = top.text("domain");
-  s.api_address = top.address("api_addr");
-  s.internal_address = top.address("internal_addr");
-  std::set<std::string> hosts{s.host};
-  top.each("known", [&](const Section& peer) {
-    Peer p{peer.text("host_name"), peer.text("domain"), peer.address("endpoint")};
-    if (!hosts.insert(p.host).second) peer.fail("host_name", "named twice");
-    if (p.host.find('/') != std::string::npos) peer.fail("host_name", "must not contain '/'");
-    s.peers.push_back(std::move(p));
-  });
-  if (s.host.find('/') != std::string::npos) top.fail("host_name", "must not contain '/'");
-  const Section external = top.section("external");
-  s.cloud_address = external.address("cloud");
-  s.store_address = external.address("state");
-
-  const Section settings = top.section("settings");
-  s.zones = settings.names("zones");
-  settings.each("teams", [&](const Section& team) {
-    Team t;
-    t.name = team.text("name");
-    if (s.team(t.name) != nullptr) team.fail("name", "named twice");
-    t.guarantee = {thousandths(team.amount_or_zero("cpus")), thousandths(team.amount_or_zero("gpus"))};
-    t.limit = {thousandths(team.amount_or_zero("cpus_max")), thousandths(team.amount_or_zero("gpus_max"))};
-    // "0 means none": a team with neither guarantee nor limit, a guest, may use all that is free.
-    if (t.limit == Quota{}) t.limit = kNoLimit;
-    s.teams.push_back(std::move(t));
-  });
-  if (s.teams.empty()) settings.fail("teams", "missing");
-  settings.each("objectives", [&](const Section& objective) {
-    Objective o;
-    double within = 0;
-    o.kind = objective.text("kind");
-    const bool of_class = o.kind == "wait" || o.kind == "deadline" || o.kind == "finished";
-    const char* measure = o.kind == "deadline" ? "times" : "within_s";
-    if (!(of_class || o.kind == "guarantee") || !objective.has(measure) ||
-        (of_class && !objective.has("class"))) {
-      // A new kind, one that nothing here is ordered by, or one that is meant otherwise.
-      s.ignored_objectives.insert(o.kind);
-      return;
-    }
-    if (of_class) o.job_class = objective.text("class");
-    (o.kind == "deadline" ? o.times : within) = objective.positive(measure);
-    o.within = seconds(within);
-    s.objectives.push_back(std::move(o));
-  });
-  const Section workers = settings.section("workers");
-  s.heartbeat_interval = seconds(workers.positive("report_s"));
-  s.worker_lease = seconds(workers.positive("lease_s"));
-  s.cancel_within = seconds(workers.positive("cancel_s"));
-  if (s.worker_lease < s.heartbeat_interval) workers.fail("lease_s", "must not be below report_s");
-  if (s.cancel_within <= s.worker_lease + seconds(2)) workers.fail("cancel_s", "must be well above lease_s");
-  if (s.cancelled_gone_within() > s.cancel_within)
-    workers.fail("cancel_s", "a cancelled task could not be gone in time: must be well above lease_s");
-  const Section state = settings.section("state");
-  s.store_requests_per_s = state.positive("rps");
-  s.store_writes_per_s = state.positive("write_rps");
-  s.store_value_bytes = static_cast<std::size_t>(state.number("value_kb", 1, 1e6) * 1024);
-  s.store_transaction_writes = static_cast<std::size_t>(state.number("txn_ops", 4, 1e6));
-  const Section cloud = settings.section("cloud");
-  s.cloud_calls_per_s = cloud.positive("rps");
-  s.cloud_list_lag = seconds(cloud.number("list_lag_s", 0, 3600));
-  s.sockets = static_cast<std::size_t>(settings.section("machine_limits").number("sockets", 32, 1e7));
-  return s;
-}
+  Settings settings_;
+};
 
 }  // namespace
 
 Settings parse_settings(const std::string& text) {
   try {
     const toml::table table = toml::parse(text);
-    return read(Section(table, ""));
-  } catch (const toml::parse_error& e) {
-    std::ostringstream where;
-    where << "line " << e.source().begin.line << ": " << e.description();
-    throw ConfigError(where.str());
+    return SettingsReader().read(ConfigSection(table, ""));
+  } catch (const toml::parse_error& error) {
+    std::ostringstream problem;
+    problem << "line " << error.source().begin.line << ": " << error.description();
+    throw ConfigError("", problem.str());
   }
 }
 
 Settings load_settings(const std::string& path) {
   std::ifstream file(path);
   std::ostringstream text;
-  if (!file || !(text << file.rdbuf())) throw ConfigError("cannot be read");
+  if (!file || !(text << file.rdbuf())) throw ConfigError("", "cannot be read");
   return parse_settings(text.str());
 }
 
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -50,8 +50,8 @@
   EXPECT_LT(s.lease_term() + s.worker_lease + seconds(5), s.cancel_within);
 }
 
-// A guest team comes with neither guarantee nor limit. It was once taken to be allowed nothing: every job got
-// 422.
+// A guest team comes with neither guarantee nor limit. Once, that was read as a limit of nothing:
+// every job got 422.
 TEST(Config, ATeamWithNeitherGuaranteeNorLimitIsNotLimited) {
   const Settings s =
       parse_settings(kGood + "[[settings.teams]]\nname = \"guest\"\ncpus = 0.0\ncpus_max = 0.0\n" +
@@ -73,21 +73,24 @@
   EXPECT_EQ(s.objectives.at(1).within, seconds(180));
   EXPECT_EQ(s.ignored_objectives, (std::set<std::string>{"wait", "splendour", "up"}));
   try {
-    parse_settings(text + "[[settings.objectives]]\nkind = 'wait'\nclass = 'c'\nwithin_s = -1\n");
+    static_cast<void>(
+        parse_settings(text + "[[settings.objectives]]\nkind = 'wait'\nclass = 'c'\nwithin_s = -1\n"));
     ADD_FAILURE() << "not noticed";
   } catch (const ConfigError& e) {
-    EXPECT_TRUE(std::string(e.what()).starts_with("settings.objectives[7].within_s")) << e.what();
+    EXPECT_EQ(e.key(), "settings.objectives[7].within_s");
+    EXPECT_STREQ(e.what(), "settings.objectives[7].within_s: out of range");
   }
 }
 
-// Where the worker's lease leaves time for it, the next holder of a shard takes over before its workers give
+// Where the workers' lease leaves time for it, the next leader of a shard takes over before its workers give
 // up.
-TEST(Config, TheTermLeavesWorkersTimeForTheNextHolder) {
+TEST(Config, TheTermLeavesWorkersTimeForTheNextLeader) {
   Settings s;
   for (const auto& [lease, report, cancel, least, most] :
        {std::tuple(22.0, 4.0, 52.0, 9.0, 11.0), std::tuple(26.5, 5.0, 46.5, 12.0, 13.4),
         std::tuple(12.0, 1.5, 42.0, 5.5, 6.5)}) {
-    s.worker_lease = seconds(lease), s.heartbeat_interval = seconds(report),
+    s.worker_lease = seconds(lease);
+    s.heartbeat_interval = seconds(report);
     s.cancel_within = seconds(cancel);
     EXPECT_GE(s.lease_term(), seconds(least)) << lease;
     EXPECT_LE(s.lease_term(), seconds(most)) << lease;
@@ -95,12 +98,11 @@
   }
 }
 
-// The inequality of docs/DESIGN.md: at every deployment known, and at the borders of what is taken at the
-// start.
+// The inequality of docs/DESIGN.md: at every deployment known, and at the borders of what is accepted.
 TEST(Config, CancelledTasksAreGoneInTimeOrTheSettingsAreRefused) {
   struct Case {
     double report, lease, cancel;
-    bool taken;
+    bool accepted;
   };
   for (const Case& c : std::vector<Case>{{1.5, 12, 42, true},
                                          {3, 20, 40, true},
@@ -123,12 +125,12 @@
     set("cancel_s = 42.0", "cancel_s", c.cancel);
     try {
       const Settings s = parse_settings(text);
-      EXPECT_TRUE(c.taken) << c.lease << " " << c.cancel;
+      EXPECT_TRUE(c.accepted) << c.lease << " " << c.cancel;
       EXPECT_LE(s.cancelled_gone_within(), s.cancel_within) << c.lease << " " << c.cancel;
       EXPECT_GE(s.cancelled_gone_within(), s.lease_term() + s.worker_lease);
-      EXPECT_GE(s.lease_term(), millis(100)) << "the least that the state service takes";
+      EXPECT_GE(s.lease_term(), millis(100)) << "the shortest lease that the key-value store grants";
     } catch (const ConfigError& e) {
-      EXPECT_FALSE(c.taken) << e.what();
+      EXPECT_FALSE(c.accepted) << e.what();
       EXPECT_TRUE(std::string(e.what()).starts_with("settings.workers.cancel_s")) << e.what();
     }
   }
@@ -156,13 +158,13 @@
     std::string text = kGood;
     text.replace(text.find(c.from), std::string(c.from).size(), c.to);
     try {
-      parse_settings(text);
+      static_cast<void>(parse_settings(text));
       ADD_FAILURE() << c.named << " was not noticed";
     } catch (const ConfigError& e) {
       EXPECT_TRUE(std::string(e.what()).starts_with(c.named)) << e.what();
     }
   }
-  EXPECT_THROW(load_settings("/nowhere/at/all.toml"), ConfigError);
+  EXPECT_THROW(static_cast<void>(load_settings("/nowhere/at/all.toml")), ConfigError);
 }
 
 TEST(Policy, ChangesWholeOrNotAtAll) {
