--- a/src/app/daemon.cpp
+++ b/src/app/daemon.cpp
@@ -4,7 +4,11 @@
 
 #include <random>
 
+#include "wire/cloud_protocol.h"
 #include "wire/names.h"
+#include "wire/store_protocol.h"
+#include "wire/user_protocol.h"
+#include "wire/worker_protocol.h"
 
 namespace bendtide {
 
@@ -86,14 +90,14 @@
     Daemon& d;
     void operator()(StoreCall& a) {
       d.loop_.spawn(d.call_service<StoreResponse>(
-          d.state_, std::move(a.request), kStateWithin, Metrics::Kind::state, wire::store_response,
+          d.state_, std::move(a.request), kStateWithin, Metrics::Kind::state, wire::parse_store_response,
           [&core = d.core_, call = a.call](const StoreResponse& answer) {
             core.on_store_response(call, answer);
           }));
     }
     void operator()(CloudCall& a) {
       d.loop_.spawn(d.call_service<CloudResponse>(
-          d.cloud_, std::move(a.request), kCloudWithin, Metrics::Kind::cloud, wire::cloud_response,
+          d.cloud_, std::move(a.request), kCloudWithin, Metrics::Kind::cloud, wire::parse_cloud_response,
           [&core = d.core_, call = a.call](const CloudResponse& answer) {
             core.on_cloud_response(call, answer);
           }));
@@ -151,7 +155,7 @@
   io::HttpClient client(loop_, request.address, 0, kWorkerBody);
   auto result = co_await client.call(std::move(http.method), std::move(http.target), std::move(http.body),
                                      kOrdersWithin);
-  const auto answer = answer_of<CommandResponse>(result, wire::command_response);
+  const auto answer = answer_of<CommandResponse>(result, wire::parse_command_response);
   metrics_.observe(Metrics::Kind::orders, loop_.now() - began,
                    answer.outcome == CommandResponse::Outcome::executed);
   enter();
@@ -264,19 +268,20 @@
   }
   if (path == kHeartbeatPath) {
     if (!post) co_return error(405, "POST only");
-    auto heartbeat = wire::heartbeat(request.body);
-    if (auto* why = std::get_if<std::string>(&heartbeat)) co_return error(400, *why);
+    auto heartbeat = wire::parse_heartbeat(request.body);
+    if (auto* why = std::get_if<wire::FieldError>(&heartbeat)) co_return error(400, why->text());
     Event event = [&](std::uint64_t id) { core_.on_heartbeat(id, std::get<Heartbeat>(heartbeat)); };
     co_return co_await ask(std::move(event), kAnswerWithin);
   }
   if (path == kJobsPath) {
     if (!post) co_return error(405, "POST only");
-    auto spec = wire::job_spec(request.body);
-    const auto* why = std::get_if<std::string>(&spec);
-    const std::string known = why == nullptr ? "" : wire::job_id_in(request.body);
-    if (why != nullptr && known.empty()) co_return error(400, *why);
+    auto spec = wire::parse_job_spec(request.body);
+    const auto* why = std::get_if<wire::FieldError>(&spec);
+    const std::string known = why == nullptr ? "" : wire::find_job_id(request.body);
+    if (why != nullptr && known.empty()) co_return error(400, why->text());
     Event event = [&](std::uint64_t id) {
-      why == nullptr ? core_.on_submit(id, std::get<JobSpec>(spec)) : core_.on_malformed(id, known, *why);
+      why == nullptr ? core_.on_submit(id, std::get<JobSpec>(spec))
+                     : core_.on_malformed(id, known, why->text());
     };
     co_return co_await ask(std::move(event), kAnswerWithin);
   }
--- a/src/app/daemon.h
+++ b/src/app/daemon.h
@@ -9,7 +9,6 @@
 #include "app/peer_link.h"
 #include "core/controller/controller.h"
 #include "io/http_client.h"
-#include "wire/wire.h"
 
 namespace spdlog {
 class logger;
--- a/tests/recorded_bytes_test.cpp
+++ b/tests/recorded_bytes_test.cpp
@@ -10,6 +10,7 @@
 #include "core/controller/controller.h"
 #include "recorded_cases.h"
 #include "sim/simulated_cluster.h"
+#include "wire/store_protocol.h"
 
 namespace bendtide::recorded {
 namespace {
@@ -185,7 +186,7 @@
   void perform(const Action& action) {
     if (const auto* call = std::get_if<StoreCall>(&action)) {
       const sim::Response r = state_.handle(wire::request_of(call->request), now_);
-      controller_.on_store_response(call->call, wire::store_response(call->request, r.status, r.body));
+      controller_.on_store_response(call->call, wire::parse_store_response(call->request, r.status, r.body));
     }
     if (const auto* call = std::get_if<CloudCall>(&action))
       controller_.on_cloud_response(call->call, CloudResponse{});
--- a/tests/recorded_wire_cases.cpp
+++ b/tests/recorded_wire_cases.cpp
@@ -3,7 +3,10 @@
 #include "recorded_cases.h"
 #include "recorded_values.h"
 #include "sim/held_shard.h"
-#include "wire/wire.h"
+#include "wire/cloud_protocol.h"
+#include "wire/store_protocol.h"
+#include "wire/user_protocol.h"
+#include "wire/worker_protocol.h"
 
 namespace bendtide::recorded {
 
@@ -211,14 +214,16 @@
 template <class T>
 std::string describe(const wire::Parsed<T>& parsed) {
   if (const auto* value = std::get_if<T>(&parsed)) return wire::body_of(*value);
-  return "refused: " + std::get<std::string>(parsed);
+  return "refused: " + std::get<wire::FieldError>(parsed).text();
 }
 
-std::string read_job(int /*status*/, const std::string& body) { return describe(wire::job_spec(body)); }
-std::string read_job_id(int /*status*/, const std::string& body) { return wire::job_id_in(body); }
-std::string read_report(int /*status*/, const std::string& body) { return describe(wire::heartbeat(body)); }
+std::string read_job(int /*status*/, const std::string& body) { return describe(wire::parse_job_spec(body)); }
+std::string read_job_id(int /*status*/, const std::string& body) { return wire::find_job_id(body); }
+std::string read_report(int /*status*/, const std::string& body) {
+  return describe(wire::parse_heartbeat(body));
+}
 std::string read_orders_answer(int status, const std::string& body) {
-  return describe(wire::command_response(status, body));
+  return describe(wire::parse_command_response(status, body));
 }
 
 void add_jobs(std::vector<Understood>& out) {
@@ -315,7 +320,7 @@
     auto add = [&out, &of = name, &request = request](const Answer& a) {
       out.push_back({"answer of the state service to " + of + ": " + a.name, a.status, a.body,
                      [request](int status, const std::string& body) {
-                       return describe(wire::store_response(request, status, body));
+                       return describe(wire::parse_store_response(request, status, body));
                      }});
     };
     for (const Answer& a : kCommonAnswers) add(a);
@@ -328,7 +333,7 @@
     auto add = [&out, &of = name, &request = request](const Answer& a) {
       out.push_back({"answer of the cloud to " + of + ": " + a.name, a.status, a.body,
                      [request](int status, const std::string& body) {
-                       return describe(wire::cloud_response(request, status, body));
+                       return describe(wire::parse_cloud_response(request, status, body));
                      }});
     };
     for (const Answer& a : kCommonAnswers) add(a);
--- a/tests/sim/action_digest.cpp
+++ b/tests/sim/action_digest.cpp
@@ -3,7 +3,10 @@
 #include <vector>
 
 #include "codec/codec.h"
-#include "wire/wire.h"
+#include "wire/cloud_protocol.h"
+#include "wire/store_protocol.h"
+#include "wire/user_protocol.h"
+#include "wire/worker_protocol.h"
 
 namespace bendtide::sim {
 
--- a/tests/sim/services.cpp
+++ b/tests/sim/services.cpp
@@ -1,6 +1,7 @@
 #include "sim/services.h"
 
 #include "wire/names.h"
+#include "wire/worker_protocol.h"
 
 namespace bendtide::sim {
 
--- a/tests/sim/services.h
+++ b/tests/sim/services.h
@@ -6,9 +6,11 @@
 #include <nlohmann/json.hpp>
 #include <random>
 
+#include "core/model/machine_type.h"
+#include "core/model/worker_messages.h"
 #include "core/runtime/token_bucket.h"
 #include "sim/checker.h"
-#include "wire/wire.h"
+#include "wire/http_request.h"
 
 namespace bendtide::sim {
 
--- a/tests/sim/simulated_cluster.cpp
+++ b/tests/sim/simulated_cluster.cpp
@@ -2,6 +2,9 @@
 
 #include "codec/codec.h"
 #include "core/controller/overview.h"
+#include "wire/cloud_protocol.h"
+#include "wire/store_protocol.h"
+#include "wire/worker_protocol.h"
 
 namespace bendtide::sim {
 
@@ -224,12 +227,12 @@
       d.call<StoreResponse>(
           node, kState, seconds(1),
           [day = &d, request = a.request, host = node.host] {
-            if (day->refused_hosts_.contains(host)) return wire::store_response(request, 503, "{}");
+            if (day->refused_hosts_.contains(host)) return wire::parse_store_response(request, 503, "{}");
             if (day->plan_.wide)
               day->copy_later(
                   [day, http = wire::request_of(request)] { day->state_.handle(http, day->now_); });
             Response r = day->state_.handle(wire::request_of(request), day->now_);
-            return wire::store_response(request, r.status, r.body);
+            return wire::parse_store_response(request, r.status, r.body);
           },
           [call = a.call](Controller& c, const StoreResponse& answer) { c.on_store_response(call, answer); });
     }
@@ -238,7 +241,7 @@
           node, kCloud, seconds(5),
           [day = &d, request = a.request] {
             Response r = day->cloud_.handle(wire::request_of(request), day->now_);
-            return wire::cloud_response(request, r.status, r.body);
+            return wire::parse_cloud_response(request, r.status, r.body);
           },
           [call = a.call](Controller& c, const CloudResponse& answer) { c.on_cloud_response(call, answer); });
     }
@@ -258,7 +261,7 @@
                 again->second.worker->orders(body, day->now_);
             });
             Response r = it->second.worker->orders(body, day->now_);
-            return wire::command_response(r.status, r.body);
+            return wire::parse_command_response(r.status, r.body);
           },
           [call = a.call](Controller& c, const CommandResponse& answer) {
             c.on_command_response(call, answer);
@@ -366,7 +369,7 @@
   };
   auto copy = [this, body] {
     Node& any = *nodes_[static_cast<std::size_t>(pick(3))];
-    auto copy = wire::heartbeat(body);
+    auto copy = wire::parse_heartbeat(body);
     const std::uint64_t request = any.next_request++;
     on_node(any, any.life,
             [request, copy](Controller& c) { c.on_heartbeat(request, std::get<Heartbeat>(copy)); });
@@ -419,7 +422,7 @@
           });
         });
       };
-      auto parsed = wire::heartbeat(body);
+      auto parsed = wire::parse_heartbeat(body);
       on_node(*node, node->life,
               [request, parsed](Controller& c) { c.on_heartbeat(request, std::get<Heartbeat>(parsed)); });
     });
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -1,9 +1,12 @@
-#include "wire/wire.h"
-
 #include <gtest/gtest.h>
 
 #include <nlohmann/json.hpp>
 
+#include "wire/cloud_protocol.h"
+#include "wire/store_protocol.h"
+#include "wire/user_protocol.h"
+#include "wire/worker_protocol.h"
+
 namespace bendtide::wire {
 namespace {
 
@@ -16,22 +19,22 @@
 }
 
 TEST(JobSpecs, AreReadAndWrittenBack) {
-  const auto parsed = job_spec(good_job().dump());
+  const auto parsed = parse_job_spec(good_job().dump());
   const auto* s = std::get_if<JobSpec>(&parsed);
-  ASSERT_NE(s, nullptr) << std::get<std::string>(parsed);
+  ASSERT_NE(s, nullptr) << std::get<FieldError>(parsed).text();
   EXPECT_EQ(s->each, (Resources{2500, 0, 8000}));
   EXPECT_EQ(s->deadline, seconds(90));
   EXPECT_FALSE(s->zone);
-  EXPECT_EQ(std::get<JobSpec>(job_spec(body_of(*s))), *s);
+  EXPECT_EQ(std::get<JobSpec>(parse_job_spec(body_of(*s))), *s);
 }
 
 TEST(JobSpecs, BadOnesMayStillNameTheirJob) {
   json v = good_job();
   v.erase("crew");
-  EXPECT_EQ(job_id_in(v.dump()), "run-12");
-  EXPECT_EQ(job_id_in(R"({"uid":"job-12"})"), "");
-  EXPECT_EQ(job_id_in("[]"), "");
-  EXPECT_EQ(job_id_in(R"({"uid":"run-12")"), "");
+  EXPECT_EQ(find_job_id(v.dump()), "run-12");
+  EXPECT_EQ(find_job_id(R"({"uid":"job-12"})"), "");
+  EXPECT_EQ(find_job_id("[]"), "");
+  EXPECT_EQ(find_job_id(R"({"uid":"run-12")"), "");
 }
 
 struct BadField {
@@ -73,39 +76,54 @@
   for (const BadField& c : cases) {
     json job = good_job();
     job[c.field] = c.value;
-    const auto parsed = job_spec(job.dump());
-    const auto* why = std::get_if<std::string>(&parsed);
+    const auto parsed = parse_job_spec(job.dump());
+    const auto* why = std::get_if<FieldError>(&parsed);
     ASSERT_NE(why, nullptr) << c.field << " = " << c.value;
-    EXPECT_TRUE(why->starts_with(c.field)) << *why;
+    EXPECT_EQ(why->field, c.field) << why->text();
+    EXPECT_TRUE(why->text().starts_with(c.field)) << why->text();
   }
   for (const char* text : {"", "{", "[]", "3", "null", "\"x\"", "{\"uid\":\"run-1\"}", "[[[[[[[["})
-    EXPECT_TRUE(std::holds_alternative<std::string>(job_spec(text))) << text;
+    EXPECT_TRUE(std::holds_alternative<FieldError>(parse_job_spec(text))) << text;
+}
+
+TEST(JobSpecs, ErrorsSayWhatIsWrong) {
+  auto error_of = [](const std::string& body) {
+    const auto parsed = parse_job_spec(body);
+    return std::get<FieldError>(parsed).text();
+  };
+  json job = good_job();
+  job["cpus"] = 0;
+  EXPECT_EQ(error_of(job.dump()), "cpus: out of range");
+  job.erase("cpus");
+  EXPECT_EQ(error_of(job.dump()), "cpus: missing");
+  EXPECT_EQ(error_of("{"), "not JSON");
+  EXPECT_EQ(error_of("[]"), "not an object");
 }
 
-TEST(Reports, AreReadAndWrittenBack) {
+TEST(Heartbeats, AreReadAndWrittenBack) {
   const std::string text =
       R"({"helm":"n-1","address":"10.0.0.1:9","hull":"g","berth":"a","driftwood":true,"watch":2,"tick":8,"baton":4,
       "warningS":2.5,"shards":[{"shard":"run-1/3","launch":7,"phase":"ended","cause":"halted","saved":true},
       {"shard":"run-2/0","launch":1,"phase":"pulling"}]})";
-  const auto parsed = heartbeat(text);
+  const auto parsed = parse_heartbeat(text);
   const auto* r = std::get_if<Heartbeat>(&parsed);
-  ASSERT_NE(r, nullptr) << std::get<std::string>(parsed);
+  ASSERT_NE(r, nullptr) << std::get<FieldError>(parsed).text();
   EXPECT_EQ(r->tasks.at(0).cause, ExitCause::stopped);
   EXPECT_EQ(r->tasks.at(1).task, (TaskId{"run-2", 0}));
-  EXPECT_EQ(body_of(std::get<Heartbeat>(heartbeat(body_of(*r)))), body_of(*r));
+  EXPECT_EQ(body_of(std::get<Heartbeat>(parse_heartbeat(body_of(*r)))), body_of(*r));
   for (const char* field : {"helm", "watch", "tick", "baton", "shards"}) {
     json broken = json::parse(text);
     broken[field] = json::object();
-    EXPECT_TRUE(std::holds_alternative<std::string>(heartbeat(broken.dump()))) << field;
+    EXPECT_TRUE(std::holds_alternative<FieldError>(parse_heartbeat(broken.dump()))) << field;
   }
   for (const char* task : {"run-1", "run-1/", "run-1/x", "run-1/-1", "run-1/99999999999", "x/1"}) {
     json broken = json::parse(text);
     broken["shards"][0]["shard"] = task;
-    EXPECT_TRUE(std::holds_alternative<std::string>(heartbeat(broken.dump()))) << task;
+    EXPECT_TRUE(std::holds_alternative<FieldError>(parse_heartbeat(broken.dump()))) << task;
   }
 }
 
-TEST(StateAnswers, EachStatusIsToldApart) {
+TEST(StoreResponses, EachStatusIsToldApart) {
   using Outcome = StoreResponse::Outcome;
   struct Case {
     StoreRequest request;
@@ -114,7 +132,7 @@
     Outcome outcome;
   };
   const GetKey get{"k"};
-  const Transaction commit{{}, {{"k", Value(1), 0}}};
+  const Transaction transaction{{}, {{"k", Value(1), 0}}};
   const std::vector<Case> cases = {
       {get, 200, R"({"path":"k","v":{"a":1},"stamp":7})", Outcome::ok},
       {get, 200, R"({"path":"k","v":{"a":1},"stamp":-7})", Outcome::unknown},
@@ -122,42 +140,43 @@
       {get, 404, R"({"epoch":431})", Outcome::absent},
       {get, 429, "", Outcome::refused},
       {get, 503, "", Outcome::refused},
-      {commit, 503, "", Outcome::unknown},
+      {transaction, 503, "", Outcome::unknown},
       {get, 500, "", Outcome::unknown},
       {ListPrefix{"k/", ""}, 200, R"({"rows":[{"path":"k/1","v":1,"stamp":2}],"more":false,"epoch":9})",
        Outcome::ok},
       {ListPrefix{"k/", ""}, 200, R"({"rows":7,"epoch":9})", Outcome::unknown},
-      {commit, 200, R"({"epoch":10})", Outcome::ok},
-      {commit, 200, "{}", Outcome::unknown},
-      {commit, 409, R"({"failed":["k"],"epoch":9})", Outcome::conflict},
-      {commit, 400, R"({"error":"no such lease"})", Outcome::absent},
-      {commit, 400, R"({"error":"too large"})", Outcome::refused},
+      {transaction, 200, R"({"epoch":10})", Outcome::ok},
+      {transaction, 200, "{}", Outcome::unknown},
+      {transaction, 409, R"({"failed":["k"],"epoch":9})", Outcome::conflict},
+      {transaction, 400, R"({"error":"no such lease"})", Outcome::absent},
+      {transaction, 400, R"({"error":"too large"})", Outcome::refused},
       {RenewLease{3}, 404, "", Outcome::absent},
       {RenewLease{3}, 200, "{}", Outcome::ok},
   };
   for (const Case& c : cases)
-    EXPECT_EQ(store_response(c.request, c.status, c.body).outcome, c.outcome) << c.status << " " << c.body;
+    EXPECT_EQ(parse_store_response(c.request, c.status, c.body).outcome, c.outcome)
+        << c.status << " " << c.body;
 }
 
-TEST(CloudAnswers, EachStatusIsToldApart) {
+TEST(CloudResponses, EachStatusIsToldApart) {
   using Outcome = CloudResponse::Outcome;
-  const CreateMachines rent{"c", "t", "z", false, 1};
-  EXPECT_EQ(cloud_response(rent, 200, R"({"helms":["n-1"]})").outcome, Outcome::ok);
-  EXPECT_EQ(cloud_response(rent, 200, R"({"helms":[1]})").outcome, Outcome::unknown);
-  EXPECT_EQ(cloud_response(rent, 503, R"({"error":"no capacity"})").outcome, Outcome::no_capacity);
-  EXPECT_EQ(cloud_response(rent, 503, R"({"error":"trouble"})").outcome, Outcome::refused);
-  EXPECT_EQ(cloud_response(rent, 429, "").outcome, Outcome::refused);
-  EXPECT_EQ(cloud_response(DeleteMachines{{"n-1"}}, 200, "").outcome, Outcome::ok);
-  EXPECT_EQ(cloud_response(DeleteMachines{{"n-1"}}, 500, "").outcome, Outcome::unknown);
+  const CreateMachines create{"c", "t", "z", false, 1};
+  EXPECT_EQ(parse_cloud_response(create, 200, R"({"helms":["n-1"]})").outcome, Outcome::ok);
+  EXPECT_EQ(parse_cloud_response(create, 200, R"({"helms":[1]})").outcome, Outcome::unknown);
+  EXPECT_EQ(parse_cloud_response(create, 503, R"({"error":"no capacity"})").outcome, Outcome::no_capacity);
+  EXPECT_EQ(parse_cloud_response(create, 503, R"({"error":"trouble"})").outcome, Outcome::refused);
+  EXPECT_EQ(parse_cloud_response(create, 429, "").outcome, Outcome::refused);
+  EXPECT_EQ(parse_cloud_response(DeleteMachines{{"n-1"}}, 200, "").outcome, Outcome::ok);
+  EXPECT_EQ(parse_cloud_response(DeleteMachines{{"n-1"}}, 500, "").outcome, Outcome::unknown);
 }
 
-TEST(OrdersAnswers, WithoutTheWorkersAccountAreNone) {
+TEST(CommandResponses, WithoutTheWorkersHeartbeatAreNone) {
   using Outcome = CommandResponse::Outcome;
-  EXPECT_EQ(command_response(200, "{}").outcome, Outcome::unknown);
-  EXPECT_EQ(command_response(409, "{}").outcome, Outcome::refused);
+  EXPECT_EQ(parse_command_response(200, "{}").outcome, Outcome::unknown);
+  EXPECT_EQ(parse_command_response(409, "{}").outcome, Outcome::refused);
   Heartbeat r;
   r.machine = r.address = r.type = r.zone = "x";
-  EXPECT_EQ(command_response(200, body_of(r)).outcome, Outcome::executed);
+  EXPECT_EQ(parse_command_response(200, body_of(r)).outcome, Outcome::executed);
 }
 
 }  // namespace
