--- a/src/io/http_client.cpp
+++ b/src/io/http_client.cpp
@@ -2,22 +2,11 @@
 
 namespace bendtide::io {
 
-void HttpClient::set_address(const std::string& address) {
-  if (address == address_) return;
-  address_ = address;
-  idle_.clear();
-}
-
 Task<HttpClient::Result> HttpClient::call(std::string method, std::string target, std::string body,
                                           Micros within) {
   const Micros until = loop_.now() + within;
   Result result;
-  Socket socket;
-  while (!idle_.empty() && !socket.open()) {
-    Socket kept = std::move(idle_.back());
-    idle_.pop_back();
-    if (kept.fresh()) socket = std::move(kept);
-  }
+  Socket socket = take_idle();
   if (!socket.open()) socket = co_await Socket::connect(loop_, address_, until);
   if (!socket.open()) co_return result;
 
@@ -32,11 +21,20 @@
     result.status = parsed.message.status;
     result.body = std::move(parsed.message.body);
     // Anything left over was not asked for: such a connection is not used again.
-    if (parsed.message.keep_alive && parsed.consumed == buffer.size() && idle_.size() < most_idle_)
-      idle_.push_back(std::move(socket));
+    const bool reusable = parsed.message.keep_alive && parsed.consumed == buffer.size();
+    if (reusable && idle_.size() < most_idle_) idle_.push_back(std::move(socket));
     break;
   }
   co_return result;
 }
 
+Socket HttpClient::take_idle() {
+  while (!idle_.empty()) {
+    Socket socket = std::move(idle_.back());
+    idle_.pop_back();
+    if (socket.fresh()) return socket;
+  }
+  return Socket();
+}
+
 }  // namespace bendtide::io
--- a/src/io/loop.cpp
+++ b/src/io/loop.cpp
@@ -17,6 +17,9 @@
 namespace {
 
 constexpr std::size_t kReadSize = 16 * 1024;
+constexpr std::int64_t kLongestPollMs = 60'000;
+constexpr Micros kAcceptWait = seconds(60);
+constexpr Micros kNoDescriptorPause = millis(100);
 
 std::optional<sockaddr_in> parse_address(const std::string& address) {
   const auto colon = address.rfind(':');
@@ -65,8 +68,8 @@
   }(*this, std::move(task));
 }
 
-void Loop::arm(Waiter& waiter, std::coroutine_handle<> h, Micros until) {
-  waiter.handle_ = h;
+void Loop::arm(Waiter& waiter, std::coroutine_handle<> handle, Micros until) {
+  waiter.handle_ = handle;
   waiter.timed_out_ = false;
   waiter.timer_ = timers_.emplace(until, &waiter);
 }
@@ -91,37 +94,52 @@
 }
 
 void Loop::run() {
-  std::array<epoll_event, 128> events;
   while (running_) {
-    while (!ready_.empty()) {
-      auto h = ready_.front();
-      ready_.pop_front();
-      h.resume();
-    }
-    const Micros at = now();
-    while (!timers_.empty() && timers_.begin()->first <= at) {
-      Waiter& waiter = *timers_.begin()->second;
-      waiter.timed_out_ = true;
-      wake(waiter);
-    }
-    if (!ready_.empty()) continue;
-    int timeout = -1;
-    if (!timers_.empty())
-      timeout =
-          static_cast<int>(std::min<std::int64_t>((timers_.begin()->first - at).count() / 1000 + 1, 60'000));
-    const int n = epoll_wait(epoll_, events.data(), static_cast<int>(events.size()), timeout);
-    for (int i = 0; i < n; ++i) {
-      auto* watch = static_cast<Watch*>(events[static_cast<std::size_t>(i)].data.ptr);
-      const std::uint32_t what = events[static_cast<std::size_t>(i)].events;
-      if (what & (EPOLLIN | EPOLLRDHUP | EPOLLHUP | EPOLLERR)) {
-        watch->readable = true;
-        wake(watch->reader);
-      }
-      if (what & (EPOLLOUT | EPOLLHUP | EPOLLERR)) {
-        watch->writable = true;
-        wake(watch->writer);
-      }
-    }
+    resume_ready();
+    const Micros turn_began = now();
+    wake_timed_out(turn_began);
+    if (ready_.empty()) poll(turn_began);
+  }
+}
+
+void Loop::resume_ready() {
+  while (!ready_.empty()) {
+    const std::coroutine_handle<> handle = ready_.front();
+    ready_.pop_front();
+    handle.resume();
+  }
+}
+
+void Loop::wake_timed_out(Micros now) {
+  while (!timers_.empty() && timers_.begin()->first <= now) {
+    Waiter& waiter = *timers_.begin()->second;
+    waiter.timed_out_ = true;
+    wake(waiter);
+  }
+}
+
+void Loop::poll(Micros now) {
+  int timeout_ms = -1;
+  if (!timers_.empty()) {
+    const std::int64_t until_next_ms = (timers_.begin()->first - now).count() / 1000 + 1;
+    timeout_ms = static_cast<int>(std::min(until_next_ms, kLongestPollMs));
+  }
+  std::array<epoll_event, 128> events;
+  const int count = epoll_wait(epoll_, events.data(), static_cast<int>(events.size()), timeout_ms);
+  for (int i = 0; i < count; ++i) {
+    const epoll_event& event = events[static_cast<std::size_t>(i)];
+    dispatch(*static_cast<Watch*>(event.data.ptr), event.events);
+  }
+}
+
+void Loop::dispatch(Watch& watch, std::uint32_t events) {
+  if (events & (EPOLLIN | EPOLLRDHUP | EPOLLHUP | EPOLLERR)) {
+    watch.readable = true;
+    wake(watch.reader);
+  }
+  if (events & (EPOLLOUT | EPOLLHUP | EPOLLERR)) {
+    watch.writable = true;
+    wake(watch.writer);
   }
 }
 
@@ -131,12 +149,12 @@
   loop.add(fd, watch_.get());
 }
 
-Socket& Socket::operator=(Socket&& o) noexcept {
-  if (this == &o) return *this;
+Socket& Socket::operator=(Socket&& other) noexcept {
+  if (this == &other) return *this;
   close();
-  loop_ = o.loop_;
-  fd_ = std::move(o.fd_);
-  watch_ = std::move(o.watch_);
+  loop_ = other.loop_;
+  fd_ = std::move(other.fd_);
+  watch_ = std::move(other.watch_);
   return *this;
 }
 
@@ -192,7 +210,7 @@
 
 Task<Socket> Socket::accept() {
   for (;;) {
-    if (!watch_->readable) co_await loop_->wait(watch_->reader, loop_->now() + seconds(60));
+    if (!watch_->readable) co_await loop_->wait(watch_->reader, loop_->now() + kAcceptWait);
     const int fd = ::accept4(fd_.value, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
     if (fd >= 0) {
       const int on = 1;
@@ -202,7 +220,7 @@
     if (errno == EAGAIN || errno == EWOULDBLOCK)
       watch_->readable = false;
     else if (errno != EINTR && errno != ECONNABORTED)
-      co_await loop_->sleep(millis(100));  // out of sockets: wait for some to be closed
+      co_await loop_->sleep(kNoDescriptorPause);  // until some connections are closed
   }
 }
 
--- a/src/io/task.h
+++ b/src/io/task.h
@@ -1,4 +1,9 @@
-// A lazy coroutine that is awaited once, or spawned on its own.
+// A lazy coroutine that is awaited once, or spawned on its own (Loop::spawn).
+//
+// A task owns its coroutine's frame, and nothing runs before it is awaited. The awaiting coroutine is resumed
+// directly when the task ends, without a turn of the loop, and gets its value or its exception. Tasks can't
+// be cancelled: a coroutine ends by itself, in time because whatever it waits for has a deadline. Parameters
+// that are references have to outlive the task.
 #pragma once
 
 #include <coroutine>
@@ -14,14 +19,15 @@
 namespace detail {
 
 struct PromiseBase {
-  std::coroutine_handle<> continuation;
+  std::coroutine_handle<> continuation;  ///< the awaiting coroutine
   std::exception_ptr error;
 
+  /// Hands over to the awaiting coroutine. The frame stays until its Task is destroyed.
   struct Final {
     bool await_ready() noexcept { return false; }
-    template <class P>
-    std::coroutine_handle<> await_suspend(std::coroutine_handle<P> h) noexcept {
-      auto next = h.promise().continuation;
+    template <class Promise>
+    std::coroutine_handle<> await_suspend(std::coroutine_handle<Promise> ended) noexcept {
+      const auto next = ended.promise().continuation;
       return next ? next : std::noop_coroutine();
     }
     void await_resume() noexcept {}
@@ -35,7 +41,7 @@
 struct Promise : PromiseBase {
   std::optional<T> value;
   Task<T> get_return_object();
-  void return_value(T v) { value.emplace(std::move(v)); }
+  void return_value(T returned) { value.emplace(std::move(returned)); }
   T result() {
     if (error) std::rethrow_exception(error);
     return std::move(*value);
@@ -53,14 +59,15 @@
 
 }  // namespace detail
 
+/// A coroutine that yields one T. To be awaited or spawned exactly once; one that is dropped never runs.
 template <class T = void>
 class [[nodiscard]] Task {
  public:
   using promise_type = detail::Promise<T>;
   using Handle = std::coroutine_handle<promise_type>;
 
-  explicit Task(Handle h) : handle_(h) {}
-  Task(Task&& o) noexcept : handle_(std::exchange(o.handle_, {})) {}
+  explicit Task(Handle handle) : handle_(handle) {}
+  Task(Task&& other) noexcept : handle_(std::exchange(other.handle_, {})) {}
   Task& operator=(Task&&) = delete;
   ~Task() {
     if (handle_) handle_.destroy();
