--- a/src/app/daemon.h
+++ b/src/app/daemon.h
@@ -1,21 +1,18 @@
-// The shell round the core: sockets, clocks and logging.
+// The shell around the core: listens, and serves the connections of users, workers, operators and peers.
 #pragma once
 
 #include <list>
 #include <memory>
-#include <unordered_map>
+#include <string>
 
+#include "app/admin_api.h"
+#include "app/core_driver.h"
 #include "app/metrics.h"
-#include "app/peer_link.h"
-#include "core/controller/controller.h"
-#include "io/http_client.h"
-
-namespace spdlog {
-class logger;
-}
+#include "app/user_api.h"
 
 namespace bendtide {
 
+/// One controller's process. Everything runs in one thread, on one loop.
 class Daemon {
  public:
   Daemon(const Settings& settings, std::shared_ptr<spdlog::logger> log);
@@ -24,51 +21,32 @@
   void run();
 
  private:
-  struct Reply {
-    int status = 503;
-    std::string body = "{}";
-    int retry_after_s = 0;
-    std::string type = "application/json";
-  };
-  /// A request that waits for the core's answer.
-  struct Pending {
-    io::Waiter waiter;
-    Reply reply;
-  };
+  /// Whom an HTTP connection belongs to, by the address that it came to.
+  enum class Audience { users, operators };
 
   io::Task<> accept_users();
   io::Task<> accept_internal();
   io::Task<> serve_users(io::Socket socket);
+  /// Peers and operators share an address; the first byte distinguishes them.
   io::Task<> serve_internal(io::Socket socket);
+  /// `buffer`: what has been read already.
   io::Task<> serve_peer(io::Socket socket, std::string buffer);
-  io::Task<> serve_http(io::Socket socket, std::string buffer, bool admin);
-  io::Task<Reply> answer_user(const http::Message& request);
-  io::Task<Reply> answer_admin(const http::Message& request);
-  using Event = std::function<void(std::uint64_t request)>;
-  io::Task<Reply> ask(Event event, Micros within);
-  io::Task<> tick();
-
-  void enter();  ///< tells the core the time
-  void leave();  ///< carries out what the core wants done
-  void perform(Action action);
-  template <class Answer, class Request, class Read, class Done>
-  io::Task<> call_service(io::HttpClient& client, Request request, Micros within, Metrics::Kind kind,
-                          Read read, Done done);
-  io::Task<> call_worker(std::uint64_t call, CommandRequest request);
-  void reply(std::uint64_t request, Reply reply);
+  io::Task<> serve_http(io::Socket socket, std::string buffer, Audience audience);
+  /// Waits for more of a request. False if the connection is over.
+  io::Task<bool> read_request(io::Socket& socket, std::string& buffer, Audience audience);
+  io::Task<HttpReply> answer(const http::Message& request, Audience audience);
+  /// Ends the users' connection that has been idle for longest; false if none is idle.
+  bool close_longest_idle();
 
   Settings settings_;
   std::shared_ptr<spdlog::logger> log_;
   io::Loop loop_;
-  Controller core_;
   Metrics metrics_;
-  io::HttpClient state_;
-  io::HttpClient cloud_;
-  std::map<std::string, std::unique_ptr<PeerLink>> peers_;
-  std::map<std::uint64_t, std::unique_ptr<Pending>> pending_;
-  std::uint64_t next_request_ = 1;
+  CoreDriver driver_;
+  UserApi user_api_;
+  AdminApi admin_api_;
   std::size_t connections_ = 0;
-  std::list<io::Socket*> idle_;  ///< connections without a request under way, the longest idle first
+  std::list<io::Socket*> idle_;  ///< users' connections without a request under way, the longest idle first
 };
 
 }  // namespace bendtide
--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -1,4 +1,5 @@
-// Command line: bendtide --config FILE
+// The command line: bendtide --config FILE [--check-config]. Ends with 1 if the settings can't be read or the
+// controller can't start.
 
 #include <spdlog/sinks/stdout_sinks.h>
 #include <spdlog/spdlog.h>
@@ -12,13 +13,20 @@
 
 namespace {
 
+/// The level that the environment asks for in LOG_LEVEL: error, info or debug; info if it asks for none of
+/// these.
+spdlog::level::level_enum wanted_level() {
+  const char* const value = std::getenv("LOG_LEVEL");
+  const std::string level = value == nullptr ? "" : value;
+  if (level == "error") return spdlog::level::err;
+  if (level == "debug") return spdlog::level::debug;
+  return spdlog::level::info;
+}
+
+/// Logs to standard error, each line with its time and the controller's host.
 std::shared_ptr<spdlog::logger> make_log(const std::string& host) {
   auto log = std::make_shared<spdlog::logger>(host, std::make_shared<spdlog::sinks::stderr_sink_st>());
-  const char* wish = std::getenv("LOG_LEVEL");
-  const std::string level = wish == nullptr ? "info" : wish;
-  log->set_level(level == "error"   ? spdlog::level::err
-                 : level == "debug" ? spdlog::level::debug
-                                    : spdlog::level::info);
+  log->set_level(wanted_level());
   log->set_pattern("%Y-%m-%d %H:%M:%S.%e %n %l %v");
   return log;
 }
@@ -44,10 +52,10 @@
     bendtide::Daemon daemon(settings, log);
     daemon.run();
     return 0;
-  } catch (const bendtide::ConfigError& e) {
-    std::cerr << "bendtide: " << config << ": " << e.what() << "\n";
-  } catch (const std::exception& e) {
-    std::cerr << "bendtide: " << e.what() << "\n";
+  } catch (const bendtide::ConfigError& error) {
+    std::cerr << "bendtide: " << config << ": " << error.what() << "\n";
+  } catch (const std::exception& error) {
+    std::cerr << "bendtide: " << error.what() << "\n";
   }
   return 1;
 }
--- a/src/app/metrics.cpp
+++ b/src/app/metrics.cpp
@@ -18,9 +18,9 @@
                        .Help("Requests and calls without the answer that was wanted")
                        .Register(*registry_);
   const prometheus::Histogram::BucketBoundaries buckets{0.001, 0.003, 0.01, 0.03, 0.1, 0.3, 1.0, 3.0};
-  const char* const names[kKinds] = {"user", "worker", "state", "cloud", "orders"};
+  const char* const labels[kKinds] = {"user", "worker", "state", "cloud", "orders"};
   for (std::size_t i = 0; i < kKinds; ++i)
-    series_[i] = {&seconds.Add({{"kind", names[i]}}, buckets), &failures.Add({{"kind", names[i]}})};
+    series_[i] = {&seconds.Add({{"kind", labels[i]}}, buckets), &failures.Add({{"kind", labels[i]}})};
   auto& violations = prometheus::BuildGauge()
                          .Name("bendtide_invariant_violations")
                          .Help("Violations of what must always hold, since the start; none is expected")
--- a/src/app/metrics.h
+++ b/src/app/metrics.h
@@ -1,4 +1,4 @@
-// Counters and histograms of one controller, in the text format that scrapers read.
+// Counters and histograms of one controller, in the text format that Prometheus scrapes.
 #pragma once
 
 #include <memory>
@@ -18,17 +18,21 @@
 
 namespace bendtide {
 
+/// One thread. The names of metrics and labels are part of the operators' interface.
 class Metrics {
  public:
   Metrics();
   ~Metrics();
 
-  enum class Kind { user, worker, state, cloud, orders };
-  /// One answered request or finished call; `good` tells whether it got what it was for.
+  /// Requests by who sends them, and calls by who receives them. The labels in the text are older names.
+  enum class Kind { user, worker, store, cloud, commands };
+  /// Counts one answered request or finished call; `took` is a span of the steady clock, `good` tells whether
+  /// it got the reply that was wanted.
   void observe(Kind kind, Micros took, bool good);
-  /// What the core counts itself, as of now.
+  /// Takes over what the core counts itself.
   void set_core(const InvariantCounts& invariants, std::uint64_t answers_not_acted_on);
-  std::string text() const;
+  /// All metrics as text.
+  [[nodiscard]] std::string text() const;
 
  private:
   struct Series {
--- a/src/app/peer_link.cpp
+++ b/src/app/peer_link.cpp
@@ -4,14 +4,15 @@
 
 namespace {
 
-constexpr Micros kStale = seconds(1);
-constexpr Micros kConnectWithin = millis(800);
-constexpr Micros kPause = millis(300);
+constexpr Micros kLongestDelay = seconds(1);  ///< of a frame in the queue, and of writing
+constexpr Micros kConnectTimeout = millis(800);
+constexpr Micros kReconnectPause = millis(300);
+constexpr Micros kIdleWait = seconds(60);
 
 }  // namespace
 
 void PeerLink::send(PeerMessage message) {
-  if (queue_.size() >= kQueue) queue_.pop_front();
+  if (queue_.size() >= kLongestQueue) queue_.pop_front();
   queue_.push_back({loop_.now(), codec::encode({self_, std::move(message)})});
   loop_.wake(more_);
 }
@@ -19,25 +20,32 @@
 io::Task<> PeerLink::run() {
   io::Socket socket;
   for (;;) {
-    while (!queue_.empty() && loop_.now() - queue_.front().since > kStale) queue_.pop_front();
+    drop_delayed_frames();
     if (queue_.empty()) {
-      co_await loop_.wait(more_, loop_.now() + seconds(60));
+      co_await loop_.wait(more_, loop_.now() + kIdleWait);
       continue;
     }
     if (!socket.fresh()) {
-      socket = co_await io::Socket::connect(loop_, address_, loop_.now() + kConnectWithin);
+      socket = co_await io::Socket::connect(loop_, address_, loop_.now() + kConnectTimeout);
       if (!socket.open()) {
-        co_await loop_.sleep(kPause);
+        co_await loop_.sleep(kReconnectPause);
         continue;
       }
     }
-    std::string bytes;
-    while (!queue_.empty()) {
-      bytes += queue_.front().bytes;
-      queue_.pop_front();
-    }
-    if (!co_await socket.write(bytes, loop_.now() + kStale)) socket.close();
+    const std::string bytes = take_queue();
+    if (!co_await socket.write(bytes, loop_.now() + kLongestDelay)) socket.close();
   }
 }
 
+void PeerLink::drop_delayed_frames() {
+  while (!queue_.empty() && loop_.now() - queue_.front().queued_at > kLongestDelay) queue_.pop_front();
+}
+
+std::string PeerLink::take_queue() {
+  std::string bytes;
+  for (const Frame& frame : queue_) bytes += frame.bytes;
+  queue_.clear();
+  return bytes;
+}
+
 }  // namespace bendtide
