--- a/src/core/negotiation/quota_transfer.cpp
+++ b/src/core/negotiation/quota_transfer.cpp
@@ -212,7 +212,7 @@
   for (const auto& [id, job] : shard.jobs) {
     if (job.spec.team != request.team || job.ended || job.waiting.empty()) continue;
     // A job that no machine can be had for does not keep share that others can use.
-    if (job.unrentable) continue;
+    if (job.no_offering) continue;
     // Nor does a job for which the unused share is too small, if the peer's job has waited for longer:
     // otherwise two shards could each keep a share that is too small for either, and neither job would start.
     const Quota each = quota_of(job.spec.each);
