--- a/lab/fault_injector.cpp
+++ b/lab/fault_injector.cpp
@@ -192,11 +192,11 @@
 }
 
 void FaultInjector::with_some_machines(double from_seconds, double to_seconds,
-                                       const std::function<void(sim::Worker&, bool)>& set) {
+                                       const std::function<void(sim::SimulatedWorker&, bool)>& set) {
   for (const std::string& name : workers_.up()) {
     if (lab_.chance() > kShareOfMachines) continue;
     auto change = [this, name, set](bool on) {
-      if (sim::Worker* worker = workers_.worker(name)) set(*worker, on);
+      if (sim::SimulatedWorker* worker = workers_.worker(name)) set(*worker, on);
     };
     for_a_while(
         from_seconds, to_seconds, [&] { change(true); }, [change] { change(false); });
@@ -204,15 +204,15 @@
 }
 
 void FaultInjector::hang_machines() {
-  with_some_machines(1, 14, [](sim::Worker& worker, bool on) { worker.hanging = on; });
+  with_some_machines(1, 14, [](sim::SimulatedWorker& worker, bool on) { worker.hanging = on; });
 }
 
 void FaultInjector::mute_machines() {
-  with_some_machines(1, 14, [](sim::Worker& worker, bool on) { worker.mute = on; });
+  with_some_machines(1, 14, [](sim::SimulatedWorker& worker, bool on) { worker.unreachable_outbound = on; });
 }
 
 void FaultInjector::deafen_machines() {
-  with_some_machines(1, 14, [](sim::Worker& worker, bool on) { worker.deaf = on; });
+  with_some_machines(1, 14, [](sim::SimulatedWorker& worker, bool on) { worker.unreachable_inbound = on; });
 }
 
 void FaultInjector::late_reports() {
--- a/lab/fault_injector.h
+++ b/lab/fault_injector.h
@@ -50,7 +50,7 @@
 
   void set_state_latency(double share, double longest_seconds);
   void with_some_machines(double from_seconds, double to_seconds,
-                          const std::function<void(sim::Worker&, bool)>& set);
+                          const std::function<void(sim::SimulatedWorker&, bool)>& set);
   static const std::vector<Fault>& faults();
 
   Laboratory& lab_;
--- a/lab/laboratory.h
+++ b/lab/laboratory.h
@@ -8,7 +8,8 @@
 #include "history.h"
 #include "io/loop.h"
 #include "sim/checker.h"
-#include "sim/services.h"
+#include "sim/simulated_key_value_store.h"
+#include "sim/simulated_worker.h"
 
 namespace bendtide::lab {
 
--- a/lab/soak.cpp
+++ b/lab/soak.cpp
@@ -54,10 +54,10 @@
   const Micros end = lab_.plan.faults_for + lab_.plan.settle_for;
   bool calm = false;
   while (lab_.now() < end && !has_ended()) {
-    lab_.checker.look(lab_.now());
+    lab_.checker.check_cancelled_jobs(lab_.now());
     if (!calm && lab_.now() >= lab_.plan.faults_for) {
       calm = true;
-      lab_.checker.calm(lab_.now());
+      lab_.checker.set_settled(lab_.now());
     }
     co_await lab_.loop.sleep(kLookEvery);
   }
@@ -68,7 +68,7 @@
 
 /// All work is done; or the planted fault has been seen, which else needs all of the time.
 bool Soak::has_ended() const {
-  if (!lab_.plan.expected_rule.empty()) return lab_.checker.broken().contains(lab_.plan.expected_rule);
+  if (!lab_.plan.expected_rule.empty()) return lab_.checker.violations().contains(lab_.plan.expected_rule);
   return lab_.now() >= lab_.plan.faults_for && users_.unfinished().empty();
 }
 
@@ -80,8 +80,8 @@
 }
 
 void Soak::judge(Verdict& verdict) {
-  lab_.checker.end();
-  for (const auto& [rule, cases] : lab_.checker.broken()) {
+  lab_.checker.finish();
+  for (const auto& [rule, cases] : lab_.checker.violations()) {
     verdict.broken_rules.push_back(rule);
     for (const std::string& what : cases) verdict.faults.push_back(labelled(rule, what));
   }
--- a/lab/state_server.cpp
+++ b/lab/state_server.cpp
@@ -20,7 +20,7 @@
   }
 }
 
-void StateServer::set_outage(bool on) { store_.outage(on, lab_.now()); }
+void StateServer::set_outage(bool on) { store_.set_outage(on, lab_.now()); }
 
 io::Task<HttpReply> StateServer::serve(int controller, http::Message request) {
   if (ports_.at(static_cast<std::size_t>(controller)).refused) co_return HttpReply{503, "{}"};
--- a/lab/state_server.h
+++ b/lab/state_server.h
@@ -31,7 +31,7 @@
   io::Task<HttpReply> serve(int controller, http::Message request);
 
   Laboratory& lab_;
-  sim::StateService store_;
+  sim::SimulatedKeyValueStore store_;
   std::array<Port, kControllers> ports_;
 };
 
--- a/lab/user_crowd.cpp
+++ b/lab/user_crowd.cpp
@@ -127,7 +127,7 @@
 io::Task<> UserCrowd::cancel(User& user, Micros delay) {
   if (std::exchange(user.cancelling, true)) co_return;
   co_await lab_.loop.sleep(delay);
-  lab_.checker.asked_to_cancel(user.spec.id);
+  lab_.checker.cancel_requested(user.spec.id);
   while (!lab_.closing) {
     const Micros asked = lab_.now();
     Question question{user.spec.id, "POST",           job_target(user.spec.id) + kCancel,
@@ -145,7 +145,8 @@
 void UserCrowd::cancel_some(int count) {
   for (const auto& user : users_) {
     if (count <= 0) return;
-    if (!user->accepted || user->over || user->cancelling || !lab_.checker.runs(user->spec.id)) continue;
+    if (!user->accepted || user->over || user->cancelling || !lab_.checker.is_running(user->spec.id))
+      continue;
     --count;
     lab_.loop.spawn(cancel(*user, lab_.between(0, 0.2)));
   }
@@ -169,7 +170,7 @@
 
 void UserCrowd::tell_checker(User& user, const Answer& answer, Micros asked) {
   if (answer.status == 0 || answer.status == 503) return;
-  lab_.checker.told(user.spec.id, answer.status, answer.phase, asked, lab_.now());
+  lab_.checker.answered(user.spec.id, answer.status, answer.phase, asked, lab_.now());
   if (answer.status != 200) return;
   user.last = answer.phase;
   user.over |= is_final(answer.phase);
@@ -182,7 +183,7 @@
     Question question{kNobodysJob, "GET", job_target(kNobodysJob), "", any_controller(), kPollWithin};
     Answer answer = co_await ask(std::move(question));
     if (lab_.plan.planted == PlantedFault::invent_jobs && answer.status == 404) answer.status = 200;
-    lab_.checker.told(kNobodysJob, answer.status, answer.phase, asked, lab_.now());
+    lab_.checker.answered(kNobodysJob, answer.status, answer.phase, asked, lab_.now());
   }
 }
 
@@ -196,9 +197,9 @@
   const Answer answer = read(question.job, result);
   ++(answer.status == 0 || answer.status == 503 ? refusals_ : answers_);
   lab_.history.add(question.job + ": " + question.method + " " + question.target + " at " +
-                        Laboratory::host(question.controller) + " -> " + std::to_string(answer.status) + " " +
-                        to_text(answer.phase) + " after " +
-                        std::to_string((lab_.now() - asked).count() / 1000) + " ms");
+                   Laboratory::host(question.controller) + " -> " + std::to_string(answer.status) + " " +
+                   to_text(answer.phase) + " after " + std::to_string((lab_.now() - asked).count() / 1000) +
+                   " ms");
   co_return answer;
 }
 
@@ -237,7 +238,7 @@
     const std::string& id = user->spec.id;
     if (!user->accepted)
       out.push_back(id + " was not accepted");
-    else if (user->spec.shape == Shape::service && !user->cancelling && !lab_.checker.runs(id))
+    else if (user->spec.shape == Shape::service && !user->cancelling && !lab_.checker.is_running(id))
       out.push_back(id + " does not run");
     else if ((user->spec.shape == Shape::array || user->cancelling) && !user->over)
       out.push_back(id + " is not over");
--- a/lab/worker_fleet.cpp
+++ b/lab/worker_fleet.cpp
@@ -30,7 +30,7 @@
 
 WorkerFleet::WorkerFleet(Laboratory& lab)
     : lab_(lab),
-      cloud_(machine_types(), lab.plan.machines, [this](sim::Cloud::Machine& m) { bring_up(m); }),
+      cloud_(machine_types(), lab.plan.machines, [this](sim::SimulatedCloud::Machine& m) { bring_up(m); }),
       cloud_server_(lab.loop, lab.address(Laboratory::cloud_port()),
                     [this](http::Message request) { return serve_cloud(std::move(request)); }) {}
 
@@ -40,7 +40,7 @@
     cloud_.add("small", i % 2 == 0 ? "east" : "west", false, lab_.now());
 }
 
-void WorkerFleet::bring_up(sim::Cloud::Machine& machine) {
+void WorkerFleet::bring_up(sim::SimulatedCloud::Machine& machine) {
   // Each has an address of its own, so that what is sent late reaches no other.
   const int number = next_address_++;
   machine.address = "127.1." + std::to_string(number / kAddressesInBlock) + "." +
@@ -53,7 +53,7 @@
   co_await lab_.loop.sleep(lab_.between(0.5, 3));
   const auto found = cloud_.machines().find(machine);
   if (found == cloud_.machines().end() || found->second.dead) co_return;
-  sim::Worker::Hooks hooks;
+  sim::SimulatedWorker::Hooks hooks;
   hooks.checker = &lab_.checker;
   hooks.job = [this](const std::string& id) {
     const auto spec = lab_.specs.find(id);
@@ -63,8 +63,8 @@
     const JobSpec& spec = lab_.specs.at(task.job);
     return spec.shape == Shape::service ? seconds(100'000) : spec.estimate;
   };
-  found->second.worker = std::make_unique<sim::Worker>(found->second, *cloud_.type(found->second.type),
-                                                       lab_.settings, std::move(hooks), lab_.now());
+  found->second.worker = std::make_unique<sim::SimulatedWorker>(
+      found->second, *cloud_.type(found->second.type), lab_.settings, std::move(hooks), lab_.now());
   desks_.push_back(std::make_unique<HttpServer>(
       lab_.loop, found->second.address,
       [this, machine](http::Message request) { return serve_commands(machine, std::move(request)); }));
@@ -80,7 +80,7 @@
   return names;
 }
 
-sim::Worker* WorkerFleet::worker(const std::string& machine) {
+sim::SimulatedWorker* WorkerFleet::worker(const std::string& machine) {
   const auto found = cloud_.machines().find(machine);
   const bool is_up = found != cloud_.machines().end() && found->second.worker && !found->second.dead;
   return is_up ? found->second.worker.get() : nullptr;
@@ -90,7 +90,7 @@
   const auto found = cloud_.machines().find(machine);
   if (found == cloud_.machines().end() || found->second.dead) return;
   lab_.history.add(machine + ": dies");
-  cloud_.die(found->second);
+  sim::SimulatedCloud::kill(found->second);
 }
 
 io::Task<HttpReply> WorkerFleet::serve_cloud(http::Message request) {
@@ -104,17 +104,17 @@
 io::Task<HttpReply> WorkerFleet::serve_commands(std::string machine, http::Message request) {
   if (late_commands_ > Micros{0} && lab_.chance() < kShareOfLateCommands)
     co_await lab_.loop.sleep(lab_.between(0, in_seconds(late_commands_)));
-  sim::Worker* reached = worker(machine);
+  sim::SimulatedWorker* reached = worker(machine);
   while (reached != nullptr && reached->hanging) {
     co_await lab_.loop.sleep(kStep);
     reached = worker(machine);
   }
-  if (reached == nullptr || reached->deaf) {
+  if (reached == nullptr || reached->unreachable_inbound) {
     co_await lab_.loop.sleep(kUnreachable);
     co_return HttpReply{503, "{}"};
   }
   const std::string body = with_planted_fault(machine, request.body);
-  const sim::Response response = reached->orders(body, lab_.now());
+  const sim::Response response = reached->handle_commands(body, lab_.now());
   if (response.status == 200) record_orders(machine, body, "directly");
   co_return HttpReply{response.status, response.body};
 }
@@ -123,9 +123,9 @@
   const json message = json::parse(body, nullptr, false);
   if (!message.is_object() || !message.contains(kCommandList)) return;
   for (const json& order : message.at(kCommandList))
-    lab_.history.add(order.at(kTask).get<std::string>() + " attempt " + order.at(kAttempt).dump() +
-                          ": " + machine + " is told " + how + " to " + order.at(kVerb).get<std::string>() +
-                          " under token " + message.value(kToken, json(nullptr)).dump());
+    lab_.history.add(order.at(kTask).get<std::string>() + " attempt " + order.at(kAttempt).dump() + ": " +
+                     machine + " is told " + how + " to " + order.at(kVerb).get<std::string>() +
+                     " under token " + message.value(kToken, json(nullptr)).dump());
 }
 
 std::string WorkerFleet::with_planted_fault(const std::string& machine, const std::string& body) {
@@ -151,7 +151,7 @@
     json copy = message;
     copy[kToken] = message.value(kToken, std::uint64_t{0}) + kHigherToken;
     copy[kSession] = 1;
-    worker(other)->orders(copy.dump(), lab_.now());
+    worker(other)->handle_commands(copy.dump(), lab_.now());
     return;
   }
 }
@@ -159,29 +159,29 @@
 // ---- heartbeats -------------------------------------------------------------------------------------
 
 io::Task<> WorkerFleet::live(std::string machine) {
-  while (sim::Worker* self = worker(machine)) {
+  while (sim::SimulatedWorker* self = worker(machine)) {
     self->advance(lab_.now());
-    if (self->wants_report(lab_.now())) lab_.loop.spawn(report(machine));
+    if (self->heartbeat_due(lab_.now())) lab_.loop.spawn(report(machine));
     co_await lab_.loop.sleep(kStep);
   }
 }
 
-int WorkerFleet::controller_to_report_to(sim::Worker& worker) {
+int WorkerFleet::controller_to_report_to(sim::SimulatedWorker& worker) {
   if (worker.target.empty())
-    worker.target = Laboratory::host(static_cast<int>(worker.next_node++ % kControllers));
+    worker.target = Laboratory::host(static_cast<int>(worker.next_controller++ % kControllers));
   for (int i = 0; i < kControllers; ++i)
     if (Laboratory::host(i) == worker.target) return i;
   return 0;
 }
 
 io::Task<> WorkerFleet::report(std::string machine) {
-  sim::Worker* self = worker(machine);
+  sim::SimulatedWorker* self = worker(machine);
   const int controller = controller_to_report_to(*self);
-  const std::string body = self->report(lab_.now());
-  const std::uint64_t number = self->report_number;
+  const std::string body = self->begin_heartbeat(lab_.now());
+  const std::uint64_t number = self->heartbeat_number();
   const Micros sent_at = lab_.now();
   io::HttpClient::Result result;
-  if (self->mute || cut_.at(static_cast<std::size_t>(controller))) {
+  if (self->unreachable_outbound || cut_.at(static_cast<std::size_t>(controller))) {
     co_await lab_.loop.sleep(seconds(1));
   } else {
     if (late_reports_ && lab_.chance() < kShareOfLateReports) lab_.loop.spawn(repeat_report(body));
@@ -193,15 +193,15 @@
     co_await lab_.loop.sleep(kStep);
     self = worker(machine);
   }
-  if (self == nullptr || !self->reporting() || self->report_number != number) co_return;
+  if (self == nullptr || !self->awaits_answer() || self->heartbeat_number() != number) co_return;
   const bool in_time = lab_.now() - sent_at < kReportWithin;
-  if (result.status == 0 || !in_time || self->deaf) {
-    self->report_failed(lab_.now());
+  if (result.status == 0 || !in_time || self->unreachable_inbound) {
+    self->heartbeat_failed(lab_.now());
     co_return;
   }
   const std::string answer = result.status == 200 ? with_planted_fault(machine, result.body) : result.body;
   if (result.status == 200) record_orders(machine, answer, "by an answer");
-  self->report_answered(result.status, answer, lab_.now());
+  self->heartbeat_answered(result.status, answer, lab_.now());
 }
 
 /// A copy of a heartbeat, which comes late and to any controller.
--- a/lab/worker_fleet.h
+++ b/lab/worker_fleet.h
@@ -16,11 +16,11 @@
   explicit WorkerFleet(Laboratory& lab);
   void run();
 
-  void set_cloud_outage(bool on) { cloud_.outage(on); }
+  void set_cloud_outage(bool on) { cloud_.set_outage(on); }
   /// Names of machines that are up.
   std::vector<std::string> up();
   /// Null if the machine is gone or not up.
-  sim::Worker* worker(const std::string& machine);
+  sim::SimulatedWorker* worker(const std::string& machine);
   void kill(const std::string& machine);
   /// Whether the way between a machine and a controller is cut, both ways.
   void set_cut(int controller, bool on) { cut_.at(static_cast<std::size_t>(controller)) = on; }
@@ -32,19 +32,19 @@
  private:
   io::Task<HttpReply> serve_cloud(http::Message request);
   io::Task<HttpReply> serve_commands(std::string machine, http::Message request);
-  void bring_up(sim::Cloud::Machine& machine);
+  void bring_up(sim::SimulatedCloud::Machine& machine);
   io::Task<> boot(std::string machine);
   io::Task<> live(std::string machine);
   io::Task<> report(std::string machine);
   io::Task<> repeat_report(std::string body);
-  static int controller_to_report_to(sim::Worker& worker);
+  static int controller_to_report_to(sim::SimulatedWorker& worker);
   void record_orders(const std::string& machine, const std::string& body, const char* how);
   /// What the worker gets to read, with the planted fault if there is one.
   std::string with_planted_fault(const std::string& machine, const std::string& body);
   void start_elsewhere(const std::string& machine, const nlohmann::json& message);
 
   Laboratory& lab_;
-  sim::Cloud cloud_;
+  sim::SimulatedCloud cloud_;
   HttpServer cloud_server_;
   std::vector<std::unique_ptr<HttpServer>> desks_;  ///< of all machines that ever came up
   int next_address_ = 0;
--- a/tests/decision_digest_main.cpp
+++ b/tests/decision_digest_main.cpp
@@ -1,7 +1,7 @@
-// Plays many days of the simulated cluster and prints, for each, a digest of every decision of every
+// Runs many scenarios of the simulated cluster and prints, for each, a digest of every decision of every
 // controller. Two versions of the sources that print the same lines decide the same.
 //
-//   bendtide_decision_digest [SEEDS]     seeds of each family of days; default 40
+//   bendtide_decision_digest [SEEDS]     seeds of each family of scenarios; default 40
 
 #include <atomic>
 #include <cstdio>
@@ -16,7 +16,7 @@
 namespace bendtide::sim {
 namespace {
 
-/// One kind of days; each is played with many seeds.
+/// One kind of scenarios; each is run with many seeds. Its name is part of the recorded digests.
 struct Family {
   const char* name;
   std::function<void(FaultScenario&)> prepare;
@@ -25,40 +25,48 @@
 std::vector<Family> families() {
   return {
       {"all kinds of trouble", [](FaultScenario&) {}},
-      {"no trouble", [](FaultScenario& plan) { plan.troubles = false; }},
+      {"no trouble", [](FaultScenario& scenario) { scenario.inject_faults = false; }},
       {"impatient users",
-       [](FaultScenario& plan) {
-         plan.hasty_users = true;
-         plan.jobs = 60;
+       [](FaultScenario& scenario) {
+         scenario.impatient_users = true;
+         scenario.jobs = 60;
        }},
-      {"tight limits", [](FaultScenario& plan) { plan.tight_limits = plan.odd_requests = true; }},
-      {"zone-bound long tasks", [](FaultScenario& plan) { plan.zone_bound = plan.long_tasks = true; }},
-      {"small values", [](FaultScenario& plan) { plan.small_values = true; }},
-      {"slow reports", [](FaultScenario& plan) { plan.slow_reports = true; }},
+      {"tight limits",
+       [](FaultScenario& scenario) {
+         scenario.tight_limits = true;
+         scenario.invalid_requests = true;
+       }},
+      {"zone-bound long tasks",
+       [](FaultScenario& scenario) {
+         scenario.zone_bound = true;
+         scenario.long_tasks = true;
+       }},
+      {"small values", [](FaultScenario& scenario) { scenario.small_store_limits = true; }},
+      {"slow reports", [](FaultScenario& scenario) { scenario.slow_heartbeats = true; }},
       {"one kind of trouble",
-       [](FaultScenario& plan) {
+       [](FaultScenario& scenario) {
          const auto kinds = static_cast<std::uint64_t>(FaultKind::count);
-         plan.only = {static_cast<FaultKind>(plan.seed % kinds)};
+         scenario.kinds = {static_cast<FaultKind>(scenario.seed % kinds)};
        }},
   };
 }
 
-struct PlayedDay {
+struct RunOfScenario {
   const Family* family;
-  FaultScenario plan;
+  FaultScenario scenario;
   ActionDigest digest;
 };
 
-void play(PlayedDay& played) {
-  SimulatedCluster day(played.plan);
-  day.observe([&played](const std::string& host, const Action& action) { played.digest.add(host, action); });
-  day.play();
+void perform(RunOfScenario& run) {
+  SimulatedCluster cluster(run.scenario);
+  cluster.observe([&run](const std::string& host, const Action& action) { run.digest.add(host, action); });
+  cluster.run();
 }
 
-void play_all(std::vector<PlayedDay>& days) {
+void perform_all(std::vector<RunOfScenario>& runs) {
   std::atomic<std::size_t> next = 0;
-  auto work = [&days, &next] {
-    for (std::size_t i = next++; i < days.size(); i = next++) play(days[i]);
+  auto work = [&runs, &next] {
+    for (std::size_t i = next++; i < runs.size(); i = next++) perform(runs[i]);
   };
   std::vector<std::jthread> threads;
   for (unsigned i = 0; i < std::max(1u, std::thread::hardware_concurrency()); ++i) threads.emplace_back(work);
@@ -71,19 +79,19 @@
   using namespace bendtide::sim;
   const std::uint64_t seeds = argc > 1 ? std::strtoull(argv[1], nullptr, 10) : 40;
   const std::vector<Family> all = families();
-  std::vector<PlayedDay> days;
+  std::vector<RunOfScenario> runs;
   for (const Family& family : all) {
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
-      FaultScenario plan;
-      plan.seed = seed;
-      plan.operators_ask = true;
-      family.prepare(plan);
-      days.push_back({&family, plan, {}});
+      FaultScenario scenario;
+      scenario.seed = seed;
+      scenario.operators_poll = true;
+      family.prepare(scenario);
+      runs.push_back({&family, scenario, {}});
     }
   }
-  play_all(days);
-  for (const PlayedDay& day : days)
-    std::printf("%s, seed %llu: %016llx after %zu actions\n", day.family->name,
-                static_cast<unsigned long long>(day.plan.seed),
-                static_cast<unsigned long long>(day.digest.value()), day.digest.actions());
+  perform_all(runs);
+  for (const RunOfScenario& run : runs)
+    std::printf("%s, seed %llu: %016llx after %zu actions\n", run.family->name,
+                static_cast<unsigned long long>(run.scenario.seed),
+                static_cast<unsigned long long>(run.digest.value()), run.digest.actions());
 }
--- a/tests/late_answer_test.cpp
+++ b/tests/late_answer_test.cpp
@@ -168,7 +168,7 @@
   }
 }
 
-/// A number from the environment, for longer runs than those of every day.
+/// A number from the environment, for longer runs than those of every cluster.
 std::uint64_t from_environment(const char* name, std::uint64_t otherwise) {
   const char* text = std::getenv(name);
   return text == nullptr ? otherwise : std::strtoull(text, nullptr, 10);
@@ -176,39 +176,43 @@
 
 /// Controllers lose the key-value store one after the other, so that submissions are passed on to two peers
 /// at once; users ask everywhere, submit again and cancel within 0.3 s of an acceptance.
-FaultScenario hasty_day(std::uint64_t seed) {
+FaultScenario impatient_users_scenario(std::uint64_t seed) {
   using enum FaultKind;
   FaultScenario plan;
   plan.seed = seed;
   plan.jobs = 300;
   plan.end = seconds(420);
-  plan.hasty_users = true;
-  plan.odd_requests = true;
-  plan.verbose = std::getenv("DAY_VERBOSE") != nullptr;
-  plan.faults = {{.at = seconds(5), .kind = state_answers_late, .span = seconds(140)},
-                 {.at = seconds(15), .kind = lose_state, .span = seconds(25), .node = 0},
-                 {.at = seconds(55), .kind = state_refuses, .span = seconds(25), .node = 1},
-                 {.at = seconds(95), .kind = lose_state, .span = seconds(25), .node = 2},
-                 {.at = seconds(130), .kind = crash, .span = seconds(4), .node = kLeader}};
+  plan.impatient_users = true;
+  plan.invalid_requests = true;
+  plan.verbose = std::getenv("SIMULATION_VERBOSE") != nullptr;
+  plan.faults = {{.at = seconds(5), .kind = late_store_responses, .duration = seconds(140)},
+                 {.at = seconds(15), .kind = store_unreachable, .duration = seconds(25), .controller = 0},
+                 {.at = seconds(55), .kind = store_refuses, .duration = seconds(25), .controller = 1},
+                 {.at = seconds(95), .kind = store_unreachable, .duration = seconds(25), .controller = 2},
+                 {.at = seconds(130),
+                  .kind = controller_crashes,
+                  .duration = seconds(4),
+                  .controller = kBusiestController}};
   return plan;
 }
 
 // The incident in a simulated cluster. FIRST_SEED and SEEDS choose other and more days.
-TEST(HastyUsers, AreNeverToldAnythingOlderWhileAnswersOfTheStateServiceAreLate) {
+TEST(ImpatientUsers, NeverGetAnOlderAnswerWhileStoreResponsesAreLate) {
   const std::uint64_t first = from_environment("FIRST_SEED", 1);
   const std::uint64_t seeds = from_environment("SEEDS", 6);
   std::size_t failed = 0;
   for (std::uint64_t seed = first; seed < first + seeds; ++seed) {
-    SimulatedCluster day(hasty_day(seed));
-    day.play();
-    EXPECT_EQ(day.checker().summary(), "") << "seed " << seed;
-    EXPECT_EQ(day.unfinished(), std::vector<std::string>{}) << "seed " << seed;
-    EXPECT_EQ(day.wrong_sums(), 0u) << "seed " << seed;
-    EXPECT_EQ(day.seen("errors in the log"), 0u) << "seed " << seed;
-    EXPECT_EQ(day.checker().starts_after_cancel(), 0u) << "seed " << seed;
-    for (const char* what : {"answers of the state service held up", "jobs cancelled at once", "parts taken"})
-      EXPECT_GT(day.seen(what), 0u) << what << ", seed " << seed;
-    failed += day.checker().summary().empty() ? 0 : 1;
+    SimulatedCluster cluster(impatient_users_scenario(seed));
+    cluster.run();
+    EXPECT_EQ(cluster.checker().summary(), "") << "seed " << seed;
+    EXPECT_EQ(cluster.unfinished(), std::vector<std::string>{}) << "seed " << seed;
+    EXPECT_EQ(cluster.inconsistent_sums(), 0u) << "seed " << seed;
+    EXPECT_EQ(cluster.seen(Evidence::error_logged), 0u) << "seed " << seed;
+    EXPECT_EQ(cluster.checker().starts_after_cancel(), 0u) << "seed " << seed;
+    for (const Evidence what :
+         {Evidence::store_response_delayed, Evidence::job_cancelled_at_acceptance, Evidence::shard_acquired})
+      EXPECT_GT(cluster.seen(what), 0u) << what << ", seed " << seed;
+    failed += cluster.checker().summary().empty() ? 0 : 1;
   }
   RecordProperty("days_that_broke_a_rule", static_cast<int>(failed));
   EXPECT_EQ(failed, 0u) << "of " << seeds << " days broke a rule";
--- a/tests/recorded_bytes_test.cpp
+++ b/tests/recorded_bytes_test.cpp
@@ -147,7 +147,7 @@
 
 TEST(RecordedStore, IsGivenBackByTheStateServiceOfTheTests) {
   const json recorded = recorded_json("store.json");
-  sim::StateService state(sim::settings_for());
+  sim::SimulatedKeyValueStore state(sim::settings_for());
   state.restore(recorded, Micros{0});
   EXPECT_EQ(state.snapshot(), recorded);
 }
@@ -215,7 +215,7 @@
   }
 
   Micros now_ = seconds(1000);
-  sim::StateService state_{settings()};
+  sim::SimulatedKeyValueStore state_{settings()};
   Controller controller_{settings(), "later-life", 1};
   std::uint64_t requests_ = 0;
   std::optional<UserReply> reply_;
--- a/tests/recorded_store.cpp
+++ b/tests/recorded_store.cpp
@@ -4,14 +4,14 @@
 namespace bendtide::recorded {
 
 nlohmann::json store_in_the_middle_of_a_day() {
-  sim::FaultScenario plan;
-  plan.seed = 3;
-  plan.troubles = false;
-  plan.jobs = 60;
-  plan.end = seconds(60);
-  sim::SimulatedCluster day(plan);
-  day.play();
-  return day.state().snapshot();
+  sim::FaultScenario scenario;
+  scenario.seed = 3;
+  scenario.inject_faults = false;
+  scenario.jobs = 60;
+  scenario.end = seconds(60);
+  sim::SimulatedCluster cluster(scenario);
+  cluster.run();
+  return cluster.store().snapshot();
 }
 
 }  // namespace bendtide::recorded
--- a/tests/sim/action_digest.cpp
+++ b/tests/sim/action_digest.cpp
@@ -13,7 +13,7 @@
   return {request.method, request.target, request.body};
 }
 
-/// What an action says to its receiver, as it goes out; empty for a log line.
+/// The encoded fields of an action, as they are sent; empty for a log line.
 struct Encoder {
   const std::string& host;
 
--- a/tests/sim/action_digest.h
+++ b/tests/sim/action_digest.h
@@ -21,7 +21,7 @@
   std::size_t actions() const { return actions_; }
 
  private:
-  /// Adds the length too, so that two fields can't be told as one.
+  /// Adds the length too, so that the border between two fields counts.
   void add_field(std::string_view bytes);
 
   std::uint64_t value_ = 0xcbf29ce484222325;  ///< FNV-1a, 64 bits
--- a/tests/sim/checker.cpp
+++ b/tests/sim/checker.cpp
@@ -4,164 +4,210 @@
 
 namespace bendtide::sim {
 
-void Checker::told(const std::string& id, int status, JobPhase phase, Micros asked, Micros now) {
-  if (unfit_.contains(id)) {
-    if (status == 200 || status == 201) breaks("accepted_unfit", id);
+namespace {
+
+constexpr Micros kAnswerWithinOnceSettled = seconds(75);
+constexpr Micros kLongestUnanswered = seconds(90);
+constexpr int kMostUnansweredPolls = 5;
+constexpr Micros kLongestNeglect = seconds(90);
+/// An award may be under way when its job is cancelled, or be lost and read again a little later.
+constexpr Micros kAwardsInFlight = seconds(1);
+constexpr Micros kLargestBeginWithin = seconds(240);
+
+}  // namespace
+
+// ---- what users see ------------------------------------------------------------------------------
+
+void Checker::accepted(const std::string& id, Micros now) {
+  Job& job = jobs_[id];
+  if (!job.accepted_at) job.accepted_at = now;
+}
+
+void Checker::answered(const std::string& id, int status, JobPhase phase, Micros asked_at, Micros now) {
+  const bool confirmed = status == 200 || status == 201;
+  if (invalid_jobs_.contains(id)) {
+    if (confirmed) violation("accepted_unfit", id);
     return;
   }
-  auto it = jobs_.find(id);
-  const bool real = it != jobs_.end() && !it->second.spec.id.empty();
-  if (status == 200 || status == 201) {
-    if (!real) return breaks("invented", id);
-    Job& job = it->second;
-    job.failing_since = Micros{-1};
-    job.failures = 0;
-    job.answered_at = now;
-    if (phase == JobPhase::done && job.completed.size() < job.spec.tasks) breaks("not_done", id);
-    if (phase == JobPhase::cancelled && !job.cancel_asked) breaks("went_back", id + " is called cancelled");
-    // Only a question asked after the final answer must not get an older one.
-    if (job.told_final && asked >= job.final_at && phase != job.final_phase) breaks("went_back", id);
-    if (is_final(phase) && !job.told_final) {
-      job.told_final = true;
-      job.final_phase = phase;
-      job.final_at = now;
-    }
-  } else if (real && it->second.accepted && (status == 404 || status == 400 || status == 422)) {
-    breaks("forgotten", id + " got " + std::to_string(status));
-  }
+  const auto found = jobs_.find(id);
+  const bool exists = found != jobs_.end() && !found->second.spec.id.empty();
+  if (confirmed && !exists) return violation("invented", id);
+  if (confirmed) return check_phase(id, found->second, phase, asked_at, now);
+  const bool denied = status == 404 || status == 400 || status == 422;
+  if (exists && found->second.accepted_at && denied)
+    violation("forgotten", id + " got " + std::to_string(status));
 }
 
-void Checker::unanswered(const std::string& id, Micros now) {
-  auto it = jobs_.find(id);
-  if (it == jobs_.end() || !it->second.accepted) return;
-  Job& job = it->second;
-  if (job.failing_since < Micros{0}) job.failing_since = now;
-  if (calm_since_ && now - std::max(job.answered_at, *calm_since_) > seconds(75))
-    breaks("forgotten", id + " is not answered about though all is calm");
-  // A user who polls seldom may meet several short troubles one after the other.
-  if (++job.failures >= 6 && now - job.failing_since > seconds(90))
-    breaks("forgotten", id + " can't be asked about");
-}
-
-bool Checker::ordered(const TaskId& task, Micros now) {
-  const Job& job = jobs_[task.job];
-  // The word of it to whom a task was awarded may be under way, or be lost and read a little later.
-  const bool late =
-      job.told_final && job.final_phase == JobPhase::cancelled && now - job.final_at > seconds(1);
-  starts_after_cancel_ += late ? 1 : 0;
-  return late;
+void Checker::check_phase(const std::string& id, Job& job, JobPhase phase, Micros asked_at, Micros now) {
+  job.unanswered_since.reset();
+  job.unanswered_polls = 0;
+  job.answered_at = now;
+  if (phase == JobPhase::done && job.completed.size() < job.spec.tasks) violation("not_done", id);
+  if (phase == JobPhase::cancelled && !job.cancel_requested)
+    violation("went_back", id + " is called cancelled");
+  // Only a poll sent after the final answer must not get an older one.
+  if (job.final_answer && asked_at >= job.final_answer->at && phase != job.final_answer->phase)
+    violation("went_back", id);
+  if (is_final(phase) && !job.final_answer) job.final_answer = FinalAnswer{phase, now};
 }
 
-std::vector<std::string> Checker::zones_of(const std::string& id) const {
-  std::vector<std::string> out;
-  for (const auto& [index, place] : jobs_.at(id).places) out.push_back(place.zone);
-  return out;
+void Checker::unanswered(const std::string& id, Micros now) {
+  const auto found = jobs_.find(id);
+  if (found == jobs_.end() || !found->second.accepted_at) return;
+  Job& job = found->second;
+  if (!job.unanswered_since) job.unanswered_since = now;
+  if (settled_at_ && now - std::max(job.answered_at, *settled_at_) > kAnswerWithinOnceSettled)
+    violation("forgotten", id + " is not answered about though all faults are over");
+  // A user who polls seldom may meet several short faults one after the other.
+  if (++job.unanswered_polls > kMostUnansweredPolls && now - *job.unanswered_since > kLongestUnanswered)
+    violation("forgotten", id + " can't be polled");
 }
 
-bool Checker::waits(const std::string& id) const {
-  const Job& job = jobs_.at(id);
-  return job.accepted && !job.cancel_asked && !job.told_final &&
-         job.completed.size() + job.places.size() < job.spec.tasks;
+// ---- what controllers command --------------------------------------------------------------------
+
+bool Checker::start_commanded(const TaskId& task, Micros now) {
+  const Job& job = jobs_[task.job];
+  const bool after_cancel = job.answered_cancelled() && now - job.final_answer->at > kAwardsInFlight;
+  if (after_cancel) ++starts_after_cancel_;
+  return after_cancel;
 }
 
-void Checker::could_run(const std::string& id, bool could, Micros now) {
-  Job& job = jobs_[id];
-  if (!could) {
-    job.neglected_since = Micros{-1};
-  } else if (job.neglected_since < Micros{0}) {
-    job.neglected_since = now;
-  } else if (now - job.neglected_since > seconds(90)) {
-    breaks("neglected", id + " waits beside a machine with room");
-    job.neglected_since = now;
+// ---- what machines do ----------------------------------------------------------------------------
+
+bool Checker::is_wrong_place(const Job& job, const std::string& type, const std::string& zone, bool spot) {
+  const JobSpec& spec = job.spec;
+  std::size_t in_zone = 1;
+  bool in_other_zone = false;
+  for (const auto& [index, place] : job.places) {
+    if (place.zone == zone)
+      ++in_zone;
+    else
+      in_other_zone = true;
   }
+  return !spec.allows_type(type) || (spec.zone && *spec.zone != zone) || (spot && !spec.spot) ||
+         (spec.one_zone && in_other_zone) || (spec.spread && in_zone > (spec.tasks + 1) / 2);
 }
 
-void Checker::on(const TaskId& task, const std::string& machine, const std::string& type,
-                 const std::string& zone, bool spot, Micros now) {
+void Checker::task_started(const TaskId& task, const std::string& machine, const std::string& type,
+                           const std::string& zone, bool spot, Micros now) {
   ++starts_;
   Job& job = jobs_[task.job];
-  const JobSpec& s = job.spec;
+  const JobSpec& spec = job.spec;
   const std::string what = task.job + "/" + std::to_string(task.index) + " on " + machine;
-  if (job.places.contains(task.index)) breaks("ran_twice", what);
-  std::size_t in_zone = 1;
-  bool other_zone = false;
-  for (const auto& [index, place] : job.places) {
-    in_zone += place.zone == zone ? 1 : 0;
-    other_zone |= place.zone != zone;
-  }
-  if (!s.allows_type(type) || (s.zone && *s.zone != zone) || (spot && !s.spot) ||
-      (s.one_zone && other_zone) || (s.spread && in_zone > (s.tasks + 1) / 2))
-    breaks("wrong_place", what + " of type " + type + " in " + zone);
-  if (job.told_final && job.final_phase == JobPhase::cancelled &&
-      now - job.final_at > settings_.cancel_within)
-    breaks("ran_cancelled", what + " started");
-  if (job.began_at < Micros{0}) job.began_at = now;
+  if (job.places.contains(task.index)) violation("ran_twice", what);
+  if (is_wrong_place(job, type, zone, spot))
+    violation("wrong_place", what + " of type " + type + " in " + zone);
+  if (job.answered_cancelled() && now - job.final_answer->at > settings_.cancel_within)
+    violation("ran_cancelled", what + " started");
+  if (!job.began_at) job.began_at = now;
   job.places.emplace(task.index, Place{machine, zone});
-  Quota& used = used_[s.team];
-  used += quota_of(s.each);
-  const Team* team = settings_.team(s.team);
-  if (team == nullptr || !used.fits_in(team->limit)) breaks("quota", s.team + " with " + what);
+  Quota& used = used_[spec.team];
+  used += quota_of(spec.each);
+  const Team* team = settings_.team(spec.team);
+  if (team == nullptr || !used.fits_in(team->limit)) violation("quota", spec.team + " with " + what);
 }
 
-void Checker::off(const TaskId& task, const std::string& machine) {
+void Checker::task_ended(const TaskId& task, const std::string& machine) {
   Job& job = jobs_[task.job];
-  auto [begin, end] = job.places.equal_range(task.index);
-  for (auto it = begin; it != end; ++it)
-    if (it->second.machine == machine) {
-      job.places.erase(it);
-      used_[job.spec.team] -= quota_of(job.spec.each);
-      return;
-    }
+  const auto [begin, end] = job.places.equal_range(task.index);
+  const auto place =
+      std::find_if(begin, end, [&](const auto& entry) { return entry.second.machine == machine; });
+  if (place == end) return;
+  job.places.erase(place);
+  used_[job.spec.team] -= quota_of(job.spec.each);
+}
+
+// ---- queries -------------------------------------------------------------------------------------
+
+bool Checker::is_completed(const TaskId& task) const {
+  const auto job = jobs_.find(task.job);
+  return job != jobs_.end() && job->second.completed.contains(task.index);
+}
+
+std::vector<std::string> Checker::zones_of(const std::string& id) const {
+  std::vector<std::string> zones;
+  for (const auto& [index, place] : jobs_.at(id).places) zones.push_back(place.zone);
+  return zones;
+}
+
+bool Checker::has_waiting_tasks(const std::string& id) const {
+  const Job& job = jobs_.at(id);
+  return job.accepted_at && !job.cancel_requested && !job.final_answer &&
+         job.completed.size() + job.places.size() < job.spec.tasks;
+}
+
+bool Checker::is_running_on(const std::string& id, const std::string& machine) const {
+  const auto job = jobs_.find(id);
+  if (job == jobs_.end()) return false;
+  const auto& places = job->second.places;
+  return std::any_of(places.begin(), places.end(),
+                     [&](const auto& entry) { return entry.second.machine == machine; });
+}
+
+// ---- checks that time brings about ---------------------------------------------------------------
+
+void Checker::set_could_run(const std::string& id, bool could_run, Micros now) {
+  Job& job = jobs_[id];
+  if (!could_run) {
+    job.neglected_since.reset();
+  } else if (!job.neglected_since) {
+    job.neglected_since = now;
+  } else if (now - *job.neglected_since > kLongestNeglect) {
+    violation("neglected", id + " waits beside a machine with free resources");
+    job.neglected_since = now;
+  }
 }
 
-void Checker::look(Micros now) {
+void Checker::check_cancelled_jobs(Micros now) {
   for (const auto& [id, job] : jobs_)
-    if (job.told_final && job.final_phase == JobPhase::cancelled && !job.places.empty() &&
-        now - job.final_at > settings_.cancel_within)
-      breaks("ran_cancelled", id);
+    if (job.answered_cancelled() && !job.places.empty() &&
+        now - job.final_answer->at > settings_.cancel_within)
+      violation("ran_cancelled", id);
+}
+
+bool Checker::Job::served() const {
+  return spec.shape == Shape::array ? completed.size() == spec.tasks : began_at.has_value();
 }
 
-bool Checker::served(const Job& job) const {
-  return job.spec.shape == Shape::array ? job.completed.size() == job.spec.tasks : job.began_at >= Micros{0};
+void Checker::ServedCount::add(const Job& job) {
+  ++jobs;
+  if (job.served()) ++served;
 }
 
-void Checker::end() {
-  if (starts_ == 0) breaks("nothing_ran", "no task was started");
-  struct Group {
-    std::size_t jobs = 0, served = 0;
-  };
-  std::map<std::string, Group> groups;
+void Checker::finish() {
+  if (starts_ == 0) violation("nothing_ran", "no task was started");
+  ServedCounts counts;
   std::map<std::string, std::vector<const Job*>> classes;
   for (const auto& [id, job] : jobs_) {
-    if (!job.accepted || job.cancel_asked) continue;
+    if (!job.accepted_at || job.cancel_requested) continue;
     classes[job.spec.job_class].push_back(&job);
-    for (const std::string& name : {"class " + job.spec.job_class, "team " + job.spec.team}) {
-      ++groups[name].jobs;
-      groups[name].served += served(job) ? 1 : 0;
-    }
+    counts["class " + job.spec.job_class].add(job);
+    counts["team " + job.spec.team].add(job);
   }
-  for (auto& [name, jobs] : classes) {
-    std::sort(jobs.begin(), jobs.end(),
-              [](const Job* a, const Job* b) { return a->spec.tasks > b->spec.tasks; });
-    jobs.resize((jobs.size() + 4) / 5);
-    for (const Job* job : jobs) {
-      Group& group = groups["the largest of class " + name];
-      ++group.jobs;
-      group.served += served(*job) ? 1 : 0;
-      if (job->began_at < Micros{0} || job->began_at - job->accepted_at > seconds(240))
-        breaks("starved", job->spec.id + ", one of the largest, began too late");
-    }
+  for (const auto& [job_class, jobs] : classes) check_largest(job_class, jobs, counts);
+  for (const auto& [group, count] : counts)
+    if (count.served * 2 < count.jobs)
+      violation("starved", group + ": " + std::to_string(count.served) + " of " + std::to_string(count.jobs));
+}
+
+void Checker::check_largest(const std::string& job_class, std::vector<const Job*> jobs,
+                            ServedCounts& counts) {
+  std::sort(jobs.begin(), jobs.end(),
+            [](const Job* a, const Job* b) { return a->spec.tasks > b->spec.tasks; });
+  jobs.resize((jobs.size() + 4) / 5);
+  ServedCount& count = counts["the largest of class " + job_class];
+  for (const Job* job : jobs) {
+    count.add(*job);
+    if (!job->began_at || *job->began_at - *job->accepted_at > kLargestBeginWithin)
+      violation("starved", job->spec.id + ", one of the largest, began too late");
   }
-  for (const auto& [name, group] : groups)
-    if (group.served * 2 < group.jobs)
-      breaks("starved", name + ": " + std::to_string(group.served) + " of " + std::to_string(group.jobs));
 }
 
 std::string Checker::summary() const {
-  std::string out;
-  for (const auto& [rule, cases] : broken_)
-    out += rule + " x" + std::to_string(cases.size()) + ": " + cases.front() + "; ";
-  return out;
+  std::string text;
+  for (const auto& [rule, cases] : violations_)
+    text += rule + " x" + std::to_string(cases.size()) + ": " + cases.front() + "; ";
+  return text;
 }
 
 }  // namespace bendtide::sim
--- /dev/null
+++ b/tests/sim/environment.h
@@ -0,0 +1,56 @@
+// What the components of a simulated cluster share.
+#pragma once
+
+#include <map>
+#include <set>
+#include <string>
+
+#include "sim/checker.h"
+#include "sim/evidence.h"
+#include "sim/fault_scenario.h"
+#include "sim/planted_defects.h"
+#include "sim/simulated_key_value_store.h"
+#include "sim/simulation.h"
+
+namespace bendtide::sim {
+
+/// Addresses of the two services; controllers and machines have their names as addresses.
+inline const std::string kStoreAddress = "state";
+inline const std::string kCloudAddress = "cloud";
+
+/// Faults in effect that are not the state of one component. Written by FaultInjector only.
+struct ActiveFaults {
+  bool store_outage = false;
+  double store_slowness = 1;            ///< factor of the time that the store takes for a request
+  std::set<std::string> refused_hosts;  ///< by the key-value store
+  Micros machines_boot_late_until{0};
+  Micros transactions_late_until{0};
+  Micros heartbeats_duplicated_until{0};
+  Micros job_ends_raced_until{0};
+  Micros store_responses_late_until{0};
+};
+
+/// Owned by SimulatedCluster; outlives all components.
+struct Environment {
+  explicit Environment(const FaultScenario& the_scenario)
+      : scenario(the_scenario),
+        settings(settings_for(the_scenario)),
+        simulation(the_scenario.seed),
+        checker(settings),
+        defects(the_scenario.planted_defect, jobs),
+        store(settings) {}
+  Environment(const Environment&) = delete;
+  Environment& operator=(const Environment&) = delete;
+
+  const FaultScenario scenario;
+  const Settings settings;
+  std::map<std::string, JobSpec> jobs;  ///< of all users, by id
+  Simulation simulation;
+  EvidenceCounters evidence;
+  ActiveFaults faults;
+  Checker checker;
+  const PlantedDefects defects;
+  SimulatedKeyValueStore store;
+};
+
+}  // namespace bendtide::sim
--- /dev/null
+++ b/tests/sim/neglect_check.cpp
@@ -0,0 +1,40 @@
+#include "sim/neglect_check.h"
+
+namespace bendtide::sim {
+
+void NeglectCheck::repeat() {
+  environment_.simulation.after(seconds(1), [this] { repeat(); });
+  if (!environment_.checker.settled()) return;
+  for (const auto& user : users_.all())
+    environment_.checker.set_could_run(user->job.id, could_run(*user), environment_.simulation.now());
+}
+
+bool NeglectCheck::could_run(const User& user) const {
+  const JobSpec& job = user.job;
+  if (!user.accepted || !environment_.checker.has_waiting_tasks(job.id)) return false;
+  const Quota with_one_more = environment_.checker.used(job.team) + quota_of(job.each);
+  return with_one_more.fits_in(environment_.settings.team(job.team)->limit) && has_machine_for(job);
+}
+
+bool NeglectCheck::has_machine_for(const JobSpec& job) const {
+  const std::vector<std::string> zones = environment_.checker.zones_of(job.id);
+  const auto& machines = machines_.cloud().machines();
+  return std::any_of(machines.begin(), machines.end(), [&](const auto& entry) {
+    return fits(job, entry.second) && allows_zone(job, entry.second.zone, zones);
+  });
+}
+
+bool NeglectCheck::fits(const JobSpec& job, const SimulatedCloud::Machine& machine) {
+  return machine.is_up() && machine.worker->is_healthy() && (!machine.spot || job.spot) &&
+         job.allows_type(machine.type) && (!job.zone || *job.zone == machine.zone) &&
+         job.each.fits_in(machine.worker->free());
+}
+
+bool NeglectCheck::allows_zone(const JobSpec& job, const std::string& zone,
+                               const std::vector<std::string>& zones_of_tasks) {
+  const auto here = static_cast<std::size_t>(std::count(zones_of_tasks.begin(), zones_of_tasks.end(), zone));
+  if (job.one_zone && here < zones_of_tasks.size()) return false;
+  return !job.spread || here < (job.tasks + 1) / 2;
+}
+
+}  // namespace bendtide::sim
--- /dev/null
+++ b/tests/sim/response.h
@@ -0,0 +1,13 @@
+// The answer of a simulated HTTP server.
+#pragma once
+
+#include <string>
+
+namespace bendtide::sim {
+
+struct Response {
+  int status = 0;
+  std::string body;
+};
+
+}  // namespace bendtide::sim
--- /dev/null
+++ b/tests/sim/simulated_controllers.cpp
@@ -0,0 +1,168 @@
+#include "sim/simulated_controllers.h"
+
+#include <cstdio>
+
+namespace bendtide::sim {
+
+namespace {
+
+constexpr Micros kTickEvery = millis(50);
+constexpr Micros kStartWithin = millis(1000);
+constexpr Micros kUserPatience = seconds(2);
+constexpr Micros kWallClockOffset = seconds(1'000'000);
+constexpr double kDriftSpread = 0.001;
+constexpr double kOffsetSpreadSeconds = 1000;
+
+}  // namespace
+
+SimulatedControllers::SimulatedControllers(Environment& environment, SimulatedMachines& machines,
+                                           SimulatedNetwork& network)
+    : environment_(environment), machines_(machines), network_(network) {
+  Simulation& simulation = environment_.simulation;
+  for (int i = 0; i < kCount; ++i) {
+    auto host = std::make_unique<ControllerHost>();
+    host->name = "node-" + std::to_string(i);
+    host->clock_drift = (simulation.chance() - 0.5) * kDriftSpread;
+    host->clock_offset = seconds(simulation.chance() * kOffsetSpreadSeconds);
+    if (environment_.scenario.extended && i == 2) host->zone = "west";
+    hosts_.push_back(std::move(host));
+  }
+}
+
+// ---- processes -----------------------------------------------------------------------------------
+
+void SimulatedControllers::start_all() {
+  Simulation& simulation = environment_.simulation;
+  for (auto& host : hosts_) {
+    const Micros delay = millis(simulation.pick(static_cast<int>(kStartWithin / millis(1))));
+    simulation.after(delay, [this, host = host.get()] { start(*host); });
+  }
+}
+
+void SimulatedControllers::start(ControllerHost& host) {
+  Settings settings = environment_.settings;
+  settings.host = host.name;
+  settings.zone = host.zone;
+  for (const auto& other : hosts_)
+    if (other->name != host.name) settings.peers.push_back({other->name, other->zone, other->name});
+  host.incarnation = ++started_;
+  host.core = std::make_unique<Controller>(environment_.defects.controller_settings(settings),
+                                           "life-" + std::to_string(host.incarnation), host.incarnation);
+  host.core->write_debug_lines(environment_.scenario.verbose);
+  tick(host, host.incarnation);
+}
+
+void SimulatedControllers::crash(ControllerHost& host, Micros restart_after) {
+  if (!host.is_up()) return;
+  awards_of_ended_ += host.core->net().counters().awards;
+  host.core.reset();
+  host.paused_until = Micros{0};
+  host.pauses_for = Micros{0};
+  host.user_requests.clear();
+  host.heartbeats.clear();
+  environment_.simulation.after(restart_after, [this, &host] { start(host); });
+}
+
+void SimulatedControllers::tick(ControllerHost& host, std::uint64_t incarnation) {
+  if (!host.is_up() || host.incarnation != incarnation) return;
+  deliver(host, incarnation, [](Controller& core) { core.tick(); });
+  if (host.is_up() && host.incarnation == incarnation)
+    for (const auto& [name, shard] : host.core->state().shards)
+      if (!shard.sums_hold()) ++inconsistent_sums_;
+  environment_.simulation.after(kTickEvery, [this, &host, incarnation] { tick(host, incarnation); });
+}
+
+void SimulatedControllers::deliver(ControllerHost& host, std::uint64_t incarnation, const Event& event) {
+  if (!host.is_up() || host.incarnation != incarnation) return;
+  Simulation& simulation = environment_.simulation;
+  if (simulation.now() < host.paused_until)
+    return simulation.at(host.paused_until,
+                         [this, &host, incarnation, event] { deliver(host, incarnation, event); });
+  host.core->at(steady_time(host), simulation.now() + kWallClockOffset);
+  event(*host.core);
+  if (host.pauses_for == Micros{0}) return perform_actions(host, incarnation);
+  host.paused_until = simulation.now() + std::exchange(host.pauses_for, Micros{0});
+  simulation.at(host.paused_until, [this, &host, incarnation] { perform_actions(host, incarnation); });
+}
+
+void SimulatedControllers::perform_actions(ControllerHost& host, std::uint64_t incarnation) {
+  if (!host.is_up() || host.incarnation != incarnation) return;
+  for (const Action& action : host.core->take_actions(steady_time(host))) {
+    if (observer_) observer_(host.name, action);
+    std::visit([&](const auto& of_its_type) { perform(host, of_its_type); }, action);
+  }
+}
+
+Micros SimulatedControllers::steady_time(const ControllerHost& host) const {
+  const auto now = static_cast<double>(environment_.simulation.now().count());
+  return Micros{static_cast<std::int64_t>(now * (1.0 + host.clock_drift))} + host.clock_offset;
+}
+
+// ---- requests from outside -----------------------------------------------------------------------
+
+void SimulatedControllers::send_user_request(ControllerHost& host, const UserRequest& request,
+                                             const UserReaction& reaction) {
+  if (!host.is_up()) return reaction(nullptr);
+  auto open = std::make_shared<bool>(true);
+  auto conclude = [open, reaction](const UserReply* reply) {
+    if (std::exchange(*open, false)) reaction(reply);
+  };
+  const std::uint64_t number = host.next_request++;
+  host.user_requests[number] = [conclude](const UserReply& reply) { conclude(&reply); };
+  environment_.simulation.after(kUserPatience, [conclude] { conclude(nullptr); });
+  deliver(host, host.incarnation, [request, number](Controller& core) { request(core, number); });
+}
+
+void SimulatedControllers::deliver_heartbeat(ControllerHost& host, const std::string& body,
+                                             HeartbeatReaction reaction) {
+  const std::uint64_t number = host.next_request++;
+  if (reaction) host.heartbeats[number] = std::move(reaction);
+  const auto heartbeat = std::get<Heartbeat>(wire::heartbeat(body));
+  deliver(host, host.incarnation,
+          [number, heartbeat](Controller& core) { core.on_heartbeat(number, heartbeat); });
+}
+
+void SimulatedControllers::deliver_admin_request(ControllerHost& host, const AdminRequest& request) {
+  const std::uint64_t number = host.next_request++;
+  deliver(host, host.incarnation, [number, request](Controller& core) { core.on_admin(number, request); });
+}
+
+// ---- queries -------------------------------------------------------------------------------------
+
+ControllerHost* SimulatedControllers::find(const std::string& host) {
+  for (auto& candidate : hosts_)
+    if (candidate->name == host) return candidate.get();
+  return nullptr;
+}
+
+ControllerHost& SimulatedControllers::busiest() {
+  auto machines = [](const std::unique_ptr<ControllerHost>& host) {
+    std::size_t count = 0;
+    if (host->is_up())
+      for (const auto& [name, shard] : host->core->state().shards) count += shard.machines.size();
+    return count;
+  };
+  return **std::max_element(hosts_.begin(), hosts_.end(), [&](const auto& one, const auto& other) {
+    return machines(one) < machines(other);
+  });
+}
+
+std::uint64_t SimulatedControllers::awards() const {
+  std::uint64_t awards = awards_of_ended_;
+  for (const auto& host : hosts_)
+    if (host->is_up()) awards += host->core->net().counters().awards;
+  return awards;
+}
+
+void SimulatedControllers::record_starts(const std::vector<Command>& commands) {
+  const Micros now = environment_.simulation.now();
+  for (const Command& command : commands) {
+    if (command.kind != Command::Kind::start) continue;
+    const bool after_cancel = environment_.checker.start_commanded(command.task, now);
+    if (after_cancel && environment_.scenario.verbose)
+      std::printf("%9.3f ---- %s/%u is started although its job is cancelled\n", in_seconds(now),
+                  command.task.job.c_str(), command.task.index);
+  }
+}
+
+}  // namespace bendtide::sim
--- /dev/null
+++ b/tests/sim/simulated_controllers_actions.cpp
@@ -0,0 +1,169 @@
+// How the actions of controllers are performed.
+
+#include <cstdio>
+
+#include "codec/codec.h"
+#include "sim/simulated_controllers.h"
+
+namespace bendtide::sim {
+
+namespace {
+
+constexpr Micros kStorePatience = seconds(1);
+constexpr Micros kCloudPatience = seconds(5);
+constexpr Micros kWorkerPatience = millis(1500);
+constexpr double kShareOfLateTransactions = 0.3;
+constexpr double kShareOfLateStoreResponses = 0.3;
+constexpr double kStoreServiceMicros = 5000;  ///< at FaultKind::store_slow, times the slowness
+
+}  // namespace
+
+// ---- calls with an answer or a time-out ----------------------------------------------------------
+
+template <class Response>
+void SimulatedControllers::call(Call<Response> call) {
+  auto shared = std::make_shared<Call<Response>>(std::move(call));
+  network_.send_to_host(shared->host->name, shared->to, [this, shared] {
+    const double slowness = environment_.faults.store_slowness;
+    if (shared->to != kStoreAddress || slowness <= 1) return serve(shared);
+    const Micros service_time{static_cast<std::int64_t>(kStoreServiceMicros * slowness)};
+    environment_.simulation.after(service_time, [this, shared] { serve(shared); });
+  });
+  environment_.simulation.after(shared->timeout, [this, shared] { conclude(shared, Response{}); });
+}
+
+template <class Response>
+void SimulatedControllers::serve(const SharedCall<Response>& call) {
+  Simulation& simulation = environment_.simulation;
+  const Response response = call->serve();
+  auto respond = [this, call, response] {
+    network_.send(call->to, call->host->name, [this, call, response] { conclude(call, response); });
+  };
+  const bool late = call->to == kStoreAddress &&
+                    simulation.now() < environment_.faults.store_responses_late_until &&
+                    simulation.chance() <= kShareOfLateStoreResponses;
+  if (!late) return respond();
+  environment_.evidence.add(Evidence::store_response_delayed);
+  simulation.after(millis(30 + simulation.pick(900)), respond);
+}
+
+template <class Response>
+void SimulatedControllers::conclude(const SharedCall<Response>& call, const Response& response) {
+  if (std::exchange(call->concluded, true)) return;
+  deliver(*call->host, call->incarnation,
+          [call, response](Controller& core) { call->conclude(core, response); });
+}
+
+// ---- calls to the key-value store ----------------------------------------------------------------
+
+void SimulatedControllers::perform(ControllerHost& host, const StoreCall& action) {
+  Simulation& simulation = environment_.simulation;
+  const bool late = std::holds_alternative<Transaction>(action.request) &&
+                    simulation.now() < environment_.faults.transactions_late_until &&
+                    !environment_.faults.store_outage && simulation.chance() < kShareOfLateTransactions;
+  if (late) return execute_late(host, action);
+  call<StoreResponse>(
+      {&host, host.incarnation, kStoreAddress, kStorePatience,
+       [this, request = action.request, name = host.name] { return serve_store(name, request); },
+       [id = action.call](Controller& core, const StoreResponse& response) {
+         core.on_store_response(id, response);
+       }});
+}
+
+/// The controller gets no answer, and the transaction is executed after newer ones.
+void SimulatedControllers::execute_late(ControllerHost& host, const StoreCall& action) {
+  Simulation& simulation = environment_.simulation;
+  environment_.evidence.add(Evidence::transaction_executed_late);
+  simulation.after(seconds(2 + simulation.chance() * 10), [this, http = wire::request_of(action.request)] {
+    environment_.store.handle(http, environment_.simulation.now());
+  });
+  simulation.after(kStorePatience, [this, &host, incarnation = host.incarnation, id = action.call] {
+    deliver(host, incarnation, [id](Controller& core) { core.on_store_response(id, StoreResponse{}); });
+  });
+}
+
+StoreResponse SimulatedControllers::serve_store(const std::string& host, const StoreRequest& request) {
+  if (environment_.faults.refused_hosts.contains(host)) return wire::store_response(request, 503, "{}");
+  const wire::HttpRequest http = wire::request_of(request);
+  if (environment_.scenario.extended)
+    network_.duplicate_sometimes(
+        [this, http] { environment_.store.handle(http, environment_.simulation.now()); });
+  const Response response = environment_.store.handle(http, environment_.simulation.now());
+  return wire::store_response(request, response.status, response.body);
+}
+
+// ---- calls to the cloud and to workers -----------------------------------------------------------
+
+void SimulatedControllers::perform(ControllerHost& host, const CloudCall& action) {
+  call<CloudResponse>({&host, host.incarnation, kCloudAddress, kCloudPatience,
+                       [this, request = action.request] {
+                         const Response response = machines_.cloud().handle(wire::request_of(request),
+                                                                            environment_.simulation.now());
+                         return wire::cloud_response(request, response.status, response.body);
+                       },
+                       [id = action.call](Controller& core, const CloudResponse& response) {
+                         core.on_cloud_response(id, response);
+                       }});
+}
+
+void SimulatedControllers::perform(ControllerHost& host, const WorkerCall& action) {
+  record_starts(action.request.commands);
+  const std::string& address = action.request.address;
+  const std::string machine = address.substr(0, address.find(':'));
+  CommandRequest delivered = action.request;
+  delivered.commands = environment_.defects.delivered(std::move(delivered.commands));
+  call<CommandResponse>(
+      {&host, host.incarnation, machine, kWorkerPatience,
+       [this, machine, body = wire::request_of(delivered).body] { return serve_commands(machine, body); },
+       [id = action.call](Controller& core, const CommandResponse& response) {
+         core.on_command_response(id, response);
+       }});
+}
+
+CommandResponse SimulatedControllers::serve_commands(const std::string& machine, const std::string& body) {
+  SimulatedWorker* worker = machines_.running_worker(machine);
+  if (worker == nullptr || worker->unreachable_inbound) return {};
+  network_.duplicate_sometimes([this, machine, body] {
+    if (SimulatedWorker* later = machines_.running_worker(machine))
+      later->handle_commands(body, environment_.simulation.now());
+  });
+  const Response response = worker->handle_commands(body, environment_.simulation.now());
+  return wire::command_response(response.status, response.body);
+}
+
+// ---- messages and answers ------------------------------------------------------------------------
+
+void SimulatedControllers::perform(ControllerHost& host, const PeerSend& action) {
+  ControllerHost* peer = find(action.host);
+  if (peer == nullptr) return;
+  const std::string frame = codec::encode({host.name, action.message});
+  network_.send(host.name, peer->name, [this, peer, frame] {
+    const codec::Decoded decoded = codec::decode(frame);
+    if (decoded.state != codec::Decoded::State::complete)
+      throw std::logic_error("a frame can't be decoded again");
+    deliver(*peer, peer->incarnation, [envelope = decoded.envelope](Controller& core) {
+      core.on_peer(envelope.sender, envelope.message);
+    });
+  });
+}
+
+void SimulatedControllers::perform(ControllerHost& host, const AnswerUser& action) {
+  const auto request = host.user_requests.extract(action.request);
+  if (request) request.mapped()(action.reply);
+}
+
+void SimulatedControllers::perform(ControllerHost& host, const AnswerHeartbeat& action) {
+  const auto heartbeat = host.heartbeats.extract(action.request);
+  if (heartbeat) heartbeat.mapped()(action.reply);
+}
+
+void SimulatedControllers::perform(ControllerHost&, const AnswerAdmin&) {}
+
+void SimulatedControllers::perform(ControllerHost& host, const LogLine& action) {
+  environment_.evidence.add_from_log(action);
+  if (environment_.scenario.verbose)
+    std::printf("%9.3f %s %s\n", in_seconds(environment_.simulation.now()), host.name.c_str(),
+                action.text.c_str());
+}
+
+}  // namespace bendtide::sim
--- /dev/null
+++ b/tests/sim/simulated_network.cpp
@@ -0,0 +1,62 @@
+#include "sim/simulated_network.h"
+
+namespace bendtide::sim {
+
+namespace {
+
+constexpr Micros kMinLatency = millis(1);
+constexpr int kLatencySpreadMicros = 4000;
+constexpr double kShareOfSlowMessages = 0.01;
+constexpr double kShareOfDuplicates = 0.02;
+constexpr Micros kCheckAwakeEvery = millis(100);
+
+}  // namespace
+
+void SimulatedNetwork::cut(const std::string& one, const std::string& other, bool hold, Micros duration) {
+  const Link link = std::minmax(one, other);
+  if (!cuts_.try_emplace(link, Cut{hold, {}}).second) return;
+  environment_.simulation.after(duration, [this, link] { end_cut(link); });
+}
+
+void SimulatedNetwork::end_cut(const Link& link) {
+  Cut cut = std::move(cuts_.at(link));
+  cuts_.erase(link);
+  Micros delay = millis(1);
+  for (Delivery& delivery : cut.held) {
+    delay += millis(1);
+    environment_.simulation.after(delay, std::move(delivery));
+  }
+}
+
+void SimulatedNetwork::send(const std::string& from, const std::string& to, Delivery delivery) {
+  if (const auto cut = cuts_.find(std::minmax(from, to)); cut != cuts_.end()) {
+    if (!cut->second.hold) return;
+    cut->second.held.push_back(std::move(delivery));
+    environment_.evidence.add(Evidence::message_held);
+    return;
+  }
+  Simulation& simulation = environment_.simulation;
+  Micros latency = kMinLatency + Micros{simulation.pick(kLatencySpreadMicros)};
+  if (simulation.chance() < kShareOfSlowMessages) latency += millis(200 + simulation.pick(1500));
+  simulation.after(latency, std::move(delivery));
+}
+
+void SimulatedNetwork::send_to_host(const std::string& from, const std::string& to, Delivery delivery) {
+  send(from, to, [this, to, delivery = std::move(delivery)] { deliver_when_awake(to, delivery); });
+}
+
+void SimulatedNetwork::deliver_when_awake(const std::string& to, const Delivery& delivery) {
+  const auto machine = machines_.cloud().machines().find(to);
+  const bool hangs = machine != machines_.cloud().machines().end() && machine->second.worker &&
+                     machine->second.worker->hanging;
+  if (!hangs) return delivery();
+  environment_.simulation.after(kCheckAwakeEvery, [this, to, delivery] { deliver_when_awake(to, delivery); });
+}
+
+void SimulatedNetwork::duplicate_sometimes(Delivery delivery) {
+  Simulation& simulation = environment_.simulation;
+  if (!environment_.scenario.inject_faults || simulation.chance() > kShareOfDuplicates) return;
+  simulation.after(seconds(0.5 + simulation.chance() * 40), std::move(delivery));
+}
+
+}  // namespace bendtide::sim
--- a/tests/simulated_cluster_test.cpp
+++ b/tests/simulated_cluster_test.cpp
@@ -1,4 +1,5 @@
-// Whole days of a simulated cluster, and the checkers' own test: each has to see a planted fault.
+// Whole runs of the simulated cluster under faults, and the test of the checker itself: each of its rules has
+// to find a planted defect.
 
 #include "sim/simulated_cluster.h"
 
@@ -7,159 +8,165 @@
 namespace bendtide::sim {
 namespace {
 
-/// Plays the day, which has to keep every rule and to end with all work done.
-void expect_good(FaultScenario plan) {
-  plan.verbose = std::getenv("DAY_VERBOSE") != nullptr;
-  SimulatedCluster day(plan);
-  day.play();
-  EXPECT_EQ(day.checker().summary(), "");
-  EXPECT_EQ(day.unfinished(), std::vector<std::string>{});
-  EXPECT_EQ(day.state().too_large(), 0u);
-  EXPECT_EQ(day.wrong_sums(), 0u);
-  EXPECT_EQ(day.seen("errors in the log"), 0u);
+/// Set in the environment to print the controllers' logs and the faults.
+bool verbose() { return std::getenv("SIMULATION_VERBOSE") != nullptr; }
+
+/// SEEDS in the environment chooses other than 40 seeds.
+std::uint64_t seeds_end() {
+  const char* text = std::getenv("SEEDS");
+  return text == nullptr ? 41 : std::strtoull(text, nullptr, 10) + 1;
+}
+
+/// Runs the scenario, which has to keep every rule and to end with all work done.
+void expect_rules_kept(FaultScenario scenario) {
+  scenario.verbose = verbose();
+  SimulatedCluster cluster(scenario);
+  cluster.run();
+  EXPECT_EQ(cluster.checker().summary(), "");
+  EXPECT_EQ(cluster.unfinished(), std::vector<std::string>{});
+  EXPECT_EQ(cluster.store().too_large(), 0u);
+  EXPECT_EQ(cluster.inconsistent_sums(), 0u);
+  EXPECT_EQ(cluster.seen(Evidence::error_logged), 0u);
 }
 
-class TroubledDay : public testing::TestWithParam<std::uint64_t> {};
+class RandomFaults : public testing::TestWithParam<std::uint64_t> {};
 
-TEST_P(TroubledDay, KeepsEveryRuleAndFinishesTheWork) {
-  FaultScenario plan;
-  plan.seed = GetParam();
-  expect_good(plan);
+TEST_P(RandomFaults, KeepsEveryRuleAndFinishesTheWork) {
+  FaultScenario scenario;
+  scenario.seed = GetParam();
+  expect_rules_kept(scenario);
 }
 
-INSTANTIATE_TEST_SUITE_P(Seeds, TroubledDay,
-                         testing::Range<std::uint64_t>(1,
-                                                       std::getenv("DAYS") != nullptr
-                                                           ? std::strtoull(std::getenv("DAYS"), nullptr, 10)
-                                                           : 41));
+INSTANTIATE_TEST_SUITE_P(Seeds, RandomFaults, testing::Range<std::uint64_t>(1, seeds_end()));
 
-// Days that once broke a rule or left work undone; the commits that mended them say how.
-class FoundDay : public testing::TestWithParam<std::uint64_t> {};
+// Scenarios that once broke a rule or left work undone; the commits that fixed them explain how.
+class RegressionScenario : public testing::TestWithParam<std::uint64_t> {};
 
-TEST_P(FoundDay, KeepsEveryRuleAndFinishesTheWork) {
-  FaultScenario plan;
-  plan.seed = GetParam();
-  plan.wide = false;
-  expect_good(plan);
+TEST_P(RegressionScenario, KeepsEveryRuleAndFinishesTheWork) {
+  FaultScenario scenario;
+  scenario.seed = GetParam();
+  scenario.extended = false;
+  expect_rules_kept(scenario);
 }
 
-INSTANTIATE_TEST_SUITE_P(Found, TroubledDay, testing::Values(255, 668, 789));
+INSTANTIATE_TEST_SUITE_P(Found, RandomFaults, testing::Values(255, 668, 789));
 
-INSTANTIATE_TEST_SUITE_P(Seeds, FoundDay,
+INSTANTIATE_TEST_SUITE_P(Seeds, RegressionScenario,
                          testing::Values(57, 204, 241, 262, 283, 312, 344, 399, 409, 412, 460, 479, 616,
                                          721));
 
-// One kind of trouble again and again, beside copies of messages that come late.
-class DayOfOneTrouble : public testing::TestWithParam<int> {};
+// One kind of fault again and again, beside duplicates of messages that arrive late.
+class OneFaultKind : public testing::TestWithParam<int> {};
 
-TEST_P(DayOfOneTrouble, KeepsEveryRuleAndFinishesTheWork) {
-  FaultScenario plan;
-  plan.seed = 1000 + static_cast<std::uint64_t>(GetParam());
-  plan.only = {static_cast<FaultKind>(GetParam())};
-  expect_good(plan);
+TEST_P(OneFaultKind, KeepsEveryRuleAndFinishesTheWork) {
+  FaultScenario scenario;
+  scenario.seed = 1000 + static_cast<std::uint64_t>(GetParam());
+  scenario.kinds = {static_cast<FaultKind>(GetParam())};
+  expect_rules_kept(scenario);
 }
 
-// Two kinds, one on top of the other: every kind meets several others.
-class DayOfTwoTroubles : public testing::TestWithParam<std::tuple<int, int>> {};
+// Two kinds that overlap; every kind is combined with several others.
+class TwoFaultKinds : public testing::TestWithParam<std::tuple<int, int>> {};
 
-TEST_P(DayOfTwoTroubles, KeepsEveryRuleAndFinishesTheWork) {
+TEST_P(TwoFaultKinds, KeepsEveryRuleAndFinishesTheWork) {
   const auto [kind, distance] = GetParam();
-  // The kinds that came later go round all: the pairs of the others stay what they were.
+  // Kinds added later are combined with all; the pairs of the earlier ones stay what they were.
   FaultKind ring = FaultKind::count;
-  for (const FaultKind first_of_later : {FaultKind::state_answers_late, FaultKind::late_transactions})
+  for (const FaultKind first_of_later : {FaultKind::late_store_responses, FaultKind::late_transactions})
     if (kind < static_cast<int>(first_of_later)) ring = first_of_later;
   const int other = (kind + distance) % static_cast<int>(ring);
-  FaultScenario plan;
-  plan.seed = 2000 + static_cast<std::uint64_t>(kind * 100 + distance);
-  plan.only = {static_cast<FaultKind>(kind), static_cast<FaultKind>(other)};
-  expect_good(plan);
+  FaultScenario scenario;
+  scenario.seed = 2000 + static_cast<std::uint64_t>(kind * 100 + distance);
+  scenario.kinds = {static_cast<FaultKind>(kind), static_cast<FaultKind>(other)};
+  expect_rules_kept(scenario);
 }
 
-INSTANTIATE_TEST_SUITE_P(Kinds, DayOfTwoTroubles,
+INSTANTIATE_TEST_SUITE_P(Kinds, TwoFaultKinds,
                          testing::Combine(testing::Range(0, static_cast<int>(FaultKind::count)),
                                           testing::Values(1, 4, 9)));
 
-// Two faulty machines once took turns in making jobs look faulty, and drew in tasks for as long as they
-// stood.
-TEST(FaultyMachines, AreToldFromFaultyJobs) {
-  FaultScenario plan;
-  plan.seed = 5;
-  plan.only = {FaultKind::machine_sick};
-  plan.jobs = 60;
-  SimulatedCluster day(plan);
-  day.play();
-  EXPECT_EQ(day.checker().summary(), "");
-  // Eight tasks fit on a machine at once; it takes those of two jobs, and of one more that came meanwhile.
-  EXPECT_LE(day.most_failures(), 24u);
+// Two machines that fail every task once made jobs look faulty in turns, and attracted tasks for as long as
+// they existed.
+TEST(FaultyMachines, AreDistinguishedFromFaultyJobs) {
+  FaultScenario scenario;
+  scenario.seed = 5;
+  scenario.kinds = {FaultKind::machine_fails_tasks};
+  scenario.jobs = 60;
+  SimulatedCluster cluster(scenario);
+  cluster.run();
+  EXPECT_EQ(cluster.checker().summary(), "");
+  // Eight tasks fit on a machine at once: those of two jobs, and of one more that was placed meanwhile.
+  EXPECT_LE(cluster.most_failures_on_a_machine(), 24u);
 }
 
-// The first forty of a queue once called for proposals again and again, and no machine was rented for the
-// others. At any one moment a few jobs have just come to wait and not called yet; none may be among them
-// twice, longer apart than the pause between two calls.
-TEST(Rush, EveryJobGetsItsTurnToCall) {
-  std::set<std::string> passed_over_before;
+// The first forty of a queue once called for proposals again and again, and no machine was provisioned for
+// the others. At any one moment a few jobs have just begun to wait and have not called yet; none may be among
+// them twice, longer apart than the pause between two calls.
+TEST(ManyJobsAtOnce, EachGetsItsTurnToCallForProposals) {
+  std::set<std::string> unprovisioned_before;
   for (const double end : {12.0, 14.5, 17.0, 19.5, 22.0}) {
-    FaultScenario plan;
-    plan.troubles = false;
-    plan.rush = true;
-    plan.jobs = 400;
-    plan.end = seconds(end);
-    SimulatedCluster day(plan);
-    day.play();
-    const std::set<std::string> passed_over = day.passed_over();
-    EXPECT_LE(passed_over.size(), 20u) << end;
+    FaultScenario scenario;
+    scenario.inject_faults = false;
+    scenario.submit_at_once = true;
+    scenario.jobs = 400;
+    scenario.end = seconds(end);
+    SimulatedCluster cluster(scenario);
+    cluster.run();
+    const std::set<std::string> unprovisioned = cluster.unprovisioned_jobs();
+    EXPECT_LE(unprovisioned.size(), 20u) << end;
     std::vector<std::string> still;
-    std::set_intersection(passed_over.begin(), passed_over.end(), passed_over_before.begin(),
-                          passed_over_before.end(), std::back_inserter(still));
+    std::set_intersection(unprovisioned.begin(), unprovisioned.end(), unprovisioned_before.begin(),
+                          unprovisioned_before.end(), std::back_inserter(still));
     EXPECT_EQ(still, std::vector<std::string>{}) << end;
-    passed_over_before = passed_over;
+    unprovisioned_before = unprovisioned;
   }
 }
 
-TEST(SmallLimits, WhatWouldExceedThemIsSplit) {
-  FaultScenario plan;
-  plan.seed = 7;
-  plan.jobs = 50;
-  plan.small_values = true;
-  SimulatedCluster day(plan);
-  day.play();
-  EXPECT_EQ(day.checker().summary(), "");
-  EXPECT_EQ(day.unfinished(), std::vector<std::string>{});
-  EXPECT_EQ(day.state().too_large(), 0u);
+TEST(SmallStoreLimits, WhatWouldExceedThemIsSplit) {
+  FaultScenario scenario;
+  scenario.seed = 7;
+  scenario.jobs = 50;
+  scenario.small_store_limits = true;
+  SimulatedCluster cluster(scenario);
+  cluster.run();
+  EXPECT_EQ(cluster.checker().summary(), "");
+  EXPECT_EQ(cluster.unfinished(), std::vector<std::string>{});
+  EXPECT_EQ(cluster.store().too_large(), 0u);
 }
 
-// They heartbeat between the silences of their worker's other tries, and so are never silent for long enough.
-// And a part all of whose machines were deaf when it was taken was once handed round among the controllers
-// for ever.
-class DeafMachines : public testing::TestWithParam<std::uint64_t> {};
-
-TEST_P(DeafMachines, AreReplaced) {
-  FaultScenario plan;
-  plan.seed = GetParam();
-  plan.only = {FaultKind::machine_deaf};
-  plan.slow_reports = plan.deaf_for_good = true;
-  plan.verbose = std::getenv("DAY_VERBOSE") != nullptr;
-  SimulatedCluster day(plan);
-  day.play();
-  EXPECT_EQ(day.checker().summary(), "");
-  EXPECT_EQ(day.unfinished(), std::vector<std::string>{});
-  EXPECT_EQ(day.deaf_machines(), 0u);
+// Their heartbeats arrive between their worker's attempts elsewhere, so they are never silent for long
+// enough. And a shard all of whose machines were unreachable when it was acquired once changed its leader
+// endlessly.
+class UnreachableMachines : public testing::TestWithParam<std::uint64_t> {};
+
+TEST_P(UnreachableMachines, AreReplaced) {
+  FaultScenario scenario;
+  scenario.seed = GetParam();
+  scenario.kinds = {FaultKind::machine_unreachable_inbound};
+  scenario.slow_heartbeats = true;
+  scenario.unreachable_for_good = true;
+  scenario.verbose = verbose();
+  SimulatedCluster cluster(scenario);
+  cluster.run();
+  EXPECT_EQ(cluster.checker().summary(), "");
+  EXPECT_EQ(cluster.unfinished(), std::vector<std::string>{});
+  EXPECT_EQ(cluster.unreachable_machines(), 0u);
 }
 
-INSTANTIATE_TEST_SUITE_P(Seeds, DeafMachines, testing::Range<std::uint64_t>(1, 10));
+INSTANTIATE_TEST_SUITE_P(Seeds, UnreachableMachines, testing::Range<std::uint64_t>(1, 10));
 
-INSTANTIATE_TEST_SUITE_P(Kinds, DayOfOneTrouble, testing::Range(0, static_cast<int>(FaultKind::count)));
+INSTANTIATE_TEST_SUITE_P(Kinds, OneFaultKind, testing::Range(0, static_cast<int>(FaultKind::count)));
 
-TEST(QuietDay, FinishesEverythingAndNegotiates) {
-  FaultScenario plan;
-  plan.troubles = false;
-  plan.jobs = 40;
-  SimulatedCluster day(plan);
-  day.play();
-  EXPECT_EQ(day.checker().summary(), "");
-  EXPECT_EQ(day.unfinished(), std::vector<std::string>{});
-  EXPECT_EQ(day.state().refused(), 0u);
-  EXPECT_GT(day.awards(), 0u);
+TEST(NoFaults, FinishesEverythingAndNegotiates) {
+  FaultScenario scenario;
+  scenario.inject_faults = false;
+  scenario.jobs = 40;
+  SimulatedCluster cluster(scenario);
+  cluster.run();
+  EXPECT_EQ(cluster.checker().summary(), "");
+  EXPECT_EQ(cluster.unfinished(), std::vector<std::string>{});
+  EXPECT_EQ(cluster.store().refused(), 0u);
+  EXPECT_GT(cluster.awards(), 0u);
 }
 
 struct PlantedDefectCase {
@@ -167,21 +174,21 @@
   const char* rule;
 };
 
-class PlantedFault : public testing::TestWithParam<PlantedDefectCase> {};
-
-TEST_P(PlantedFault, IsSeen) {
-  FaultScenario plan;
-  plan.troubles = false;
-  plan.end = seconds(200);
-  plan.jobs = 60;
-  plan.planted_defect = GetParam().planted_defect;
-  plan.odd_requests = plan.planted_defect == PlantedDefect::accept_unfit;
-  SimulatedCluster day(plan);
-  day.play();
-  EXPECT_TRUE(day.checker().broken().contains(GetParam().rule)) << day.checker().summary();
+class PlantedDefectIsFound : public testing::TestWithParam<PlantedDefectCase> {};
+
+TEST_P(PlantedDefectIsFound, ByTheRule) {
+  FaultScenario scenario;
+  scenario.inject_faults = false;
+  scenario.end = seconds(200);
+  scenario.jobs = 60;
+  scenario.planted_defect = GetParam().planted_defect;
+  scenario.invalid_requests = scenario.planted_defect == PlantedDefect::accept_unfit;
+  SimulatedCluster cluster(scenario);
+  cluster.run();
+  EXPECT_TRUE(cluster.checker().violations().contains(GetParam().rule)) << cluster.checker().summary();
 }
 
-INSTANTIATE_TEST_SUITE_P(Rules, PlantedFault,
+INSTANTIATE_TEST_SUITE_P(Rules, PlantedDefectIsFound,
                          testing::Values(PlantedDefectCase{PlantedDefect::start_twice, "ran_twice"},
                                          PlantedDefectCase{PlantedDefect::ignore_quota, "quota"},
                                          PlantedDefectCase{PlantedDefect::start_anywhere, "wrong_place"},
@@ -201,15 +208,15 @@
                                   std::to_string(static_cast<int>(info.param.planted_defect));
                          });
 
-TEST(PlantedStart, OfACancelledJobIsCounted) {
-  FaultScenario plan;
-  plan.troubles = false;
-  plan.end = seconds(200);
-  plan.jobs = 60;
-  plan.planted_defect = PlantedDefect::start_cancelled;
-  SimulatedCluster day(plan);
-  day.play();
-  EXPECT_GT(day.checker().starts_after_cancel(), 0u);
+TEST(PlantedDefects, StartOfACancelledJobIsCounted) {
+  FaultScenario scenario;
+  scenario.inject_faults = false;
+  scenario.end = seconds(200);
+  scenario.jobs = 60;
+  scenario.planted_defect = PlantedDefect::start_cancelled;
+  SimulatedCluster cluster(scenario);
+  cluster.run();
+  EXPECT_GT(cluster.checker().starts_after_cancel(), 0u);
 }
 
 }  // namespace
--- a/tests/size_test.cpp
+++ b/tests/size_test.cpp
@@ -38,7 +38,7 @@
       : settings_(settings()),
         state_(settings_),
         cloud_({{"type", {8000, 0, 64000}, 50, 0.8, 0.5, 0.1, seconds(30), {"east", "west"}}},
-               machines == 0 ? 2000 : 0, [](Cloud::Machine&) {}),
+               machines == 0 ? 2000 : 0, [](SimulatedCloud::Machine&) {}),
         core_(std::make_unique<Controller>(settings_, "life", 1)) {
     pass(3);
     for (int i = 0; i < machines; ++i) machines_.push_back("n-" + std::to_string(1000 + i));
@@ -190,8 +190,8 @@
   }
 
   Settings settings_;
-  StateService state_;
-  Cloud cloud_;
+  SimulatedKeyValueStore state_;
+  SimulatedCloud cloud_;
   std::unique_ptr<Controller> core_;
   Micros now_{seconds(1)};
   std::vector<std::string> machines_;
