--- a/lab/controllers.cpp
+++ b/lab/controllers.cpp
@@ -16,14 +16,16 @@
 constexpr Micros kWatchEvery = millis(100);
 constexpr int kExecFailed = 127;
 constexpr mode_t kLogMode = 0644;
-constexpr double kPerCpu = 1000;  ///< amounts are thousandths
+constexpr double kMillicpusPerCpu = 1000;
 
 std::size_t link_index(int from, int to) {
   return static_cast<std::size_t>(from) * kControllers + static_cast<std::size_t>(to);
 }
 
-/// In the child: becomes the controller, with its log appended to a file, and ends with the laboratory.
-[[noreturn]] void become(const std::string& program, const std::string& settings, const std::string& log) {
+/// In the child process: executes the controller, with its log appended to a file. It is killed when the
+/// laboratory ends.
+[[noreturn]] void exec_controller(const std::string& program, const std::string& settings,
+                                  const std::string& log) {
   prctl(PR_SET_PDEATHSIG, SIGKILL);
   const int file = ::open(log.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, kLogMode);
   if (file >= 0) ::dup2(file, STDERR_FILENO);
@@ -67,8 +69,8 @@
 }
 
 void Controllers::write_settings(int controller) const {
-  const Settings& s = lab_.settings;
-  const double limit_factor = lab_.plan.planted == PlantedFault::exceed_limits ? 10 : 1;
+  const Settings& settings = lab_.settings;
+  const double limit_factor = lab_.plan.planted_defect == PlantedDefect::exceed_limits ? 10 : 1;
   std::ofstream out(settings_file(controller));
   out << "host_name = \"" << Laboratory::host(controller) << "\"\n"
       << "domain = \"" << Laboratory::zone(controller) << "\"\n"
@@ -80,25 +82,29 @@
           << Laboratory::zone(peer) << "\"\nendpoint = \""
           << lab_.address(Laboratory::peer_link_port(controller, peer)) << "\"\n";
   out << "[external]\ncloud = \"" << lab_.address(Laboratory::cloud_port()) << "\"\nstate = \""
-      << lab_.address(Laboratory::state_link_port(controller)) << "\"\n"
+      << lab_.address(Laboratory::store_link_port(controller)) << "\"\n"
       << "[settings]\nsize = " << kControllers << "\nzones = [\"east\", \"west\"]\n";
-  for (const Team& team : s.teams)
+  for (const Team& team : settings.teams)
     out << "[[settings.teams]]\nname = \"" << team.name
-        << "\"\ncpus = " << static_cast<double>(team.guarantee.cpu) / kPerCpu
-        << "\ncpus_max = " << static_cast<double>(team.limit.cpu) * limit_factor / kPerCpu << "\n";
-  out << "[settings.workers]\nreport_s = " << in_seconds(s.heartbeat_interval)
-      << "\nlease_s = " << in_seconds(s.worker_lease) << "\ncancel_s = " << in_seconds(s.cancel_within)
-      << "\n[settings.state]\nrps = " << s.store_requests_per_s << "\nwrite_rps = " << s.store_writes_per_s
-      << "\nvalue_kb = " << s.store_value_bytes / 1024 << "\ntxn_ops = " << s.store_transaction_writes
-      << "\n[settings.cloud]\nrps = " << s.cloud_calls_per_s
-      << "\nlist_lag_s = " << in_seconds(s.cloud_list_lag)
-      << "\n[settings.machine_limits]\ncores = 1.0\nmemory_mb = 256.0\nsockets = " << s.sockets << "\n";
+        << "\"\ncpus = " << static_cast<double>(team.guarantee.cpu) / kMillicpusPerCpu
+        << "\ncpus_max = " << static_cast<double>(team.limit.cpu) * limit_factor / kMillicpusPerCpu << "\n";
+  out << "[settings.workers]\nreport_s = " << in_seconds(settings.heartbeat_interval)
+      << "\nlease_s = " << in_seconds(settings.worker_lease)
+      << "\ncancel_s = " << in_seconds(settings.cancel_within)
+      << "\n[settings.state]\nrps = " << settings.store_requests_per_s
+      << "\nwrite_rps = " << settings.store_writes_per_s
+      << "\nvalue_kb = " << settings.store_value_bytes / 1024
+      << "\ntxn_ops = " << settings.store_transaction_writes
+      << "\n[settings.cloud]\nrps = " << settings.cloud_calls_per_s
+      << "\nlist_lag_s = " << in_seconds(settings.cloud_list_lag)
+      << "\n[settings.machine_limits]\ncores = 1.0\nmemory_mb = 256.0\nsockets = " << settings.sockets
+      << "\n";
 }
 
 void Controllers::start(int controller) {
   if (is_running(controller)) return;
   const pid_t pid = ::fork();
-  if (pid == 0) become(lab_.plan.program, settings_file(controller), log_file(controller));
+  if (pid == 0) exec_controller(lab_.plan.program, settings_file(controller), log_file(controller));
   if (pid < 0) throw std::runtime_error("a controller can't be started");
   at(controller) = {pid, false};
   lab_.history.add(Laboratory::host(controller) + ": is started");
@@ -118,7 +124,7 @@
   if (process.pid <= 0 || process.paused) return;
   ::kill(process.pid, SIGSTOP);
   process.paused = true;
-  lab_.history.add(Laboratory::host(controller) + ": stands still");
+  lab_.history.add(Laboratory::host(controller) + ": is paused");
 }
 
 void Controllers::resume(int controller) {
@@ -126,7 +132,7 @@
   if (process.pid <= 0 || !process.paused) return;
   ::kill(process.pid, SIGCONT);
   process.paused = false;
-  lab_.history.add(Laboratory::host(controller) + ": goes on");
+  lab_.history.add(Laboratory::host(controller) + ": is resumed");
 }
 
 io::Task<> Controllers::watch() {
@@ -136,7 +142,7 @@
       if (process.pid <= 0 || ::waitpid(process.pid, nullptr, WNOHANG) != process.pid) continue;
       process = {};
       ++unexpected_ends_;
-      lab_.history.add(Laboratory::host(i) + ": has ended by itself");
+      lab_.history.add(Laboratory::host(i) + ": has ended unexpectedly");
       start(i);
     }
     co_await lab_.loop.sleep(kWatchEvery);
--- a/lab/controllers.h
+++ b/lab/controllers.h
@@ -1,4 +1,4 @@
-// The controllers as real processes: their settings files, their links to each other, their starts and ends.
+// The controllers as real processes: settings files, links to each other, starts, pauses and ends.
 #pragma once
 
 #include <sys/types.h>
@@ -12,6 +12,7 @@
 
 namespace bendtide::lab {
 
+/// Restarts a controller that ended unexpectedly. Controllers are numbered from 0 to kControllers - 1.
 class Controllers {
  public:
   explicit Controllers(Laboratory& lab);
@@ -22,19 +23,19 @@
   void run();
 
   void start(int controller);
-  /// Without a signal that it could handle.
+  /// With SIGKILL, which it can't handle. Nothing happens if it is not running.
   void kill(int controller);
   bool is_running(int controller) const { return at(controller).pid > 0; }
-  /// Stands still, while its clocks run on.
+  /// Stops the process, while its clocks run on.
   void pause(int controller);
   void resume(int controller);
-  /// What one controller says to another.
+  /// Carries the messages of one controller to another.
   LinkProxy& link(int from, int to);
 
-  /// How often a process ended that nobody had killed.
+  /// How often a process ended that was not killed by kill().
   int unexpected_ends() const { return unexpected_ends_; }
   std::string log_file(int controller) const;
-  /// Lines of the log with the level `error`.
+  /// Lines of the log with the level `error`, and those of sanitizers.
   std::vector<std::string> errors(int controller) const;
 
  private:
--- a/lab/fault_injector.cpp
+++ b/lab/fault_injector.cpp
@@ -4,233 +4,231 @@
 
 namespace {
 
-constexpr double kShareOfSlowAnswers = 0.04;  ///< at all times, "now and then a few hundred" milliseconds
+constexpr double kShareOfSlowAnswers = 0.04;  ///< at all times, of the key-value store's answers
 constexpr double kSlowAnswerSeconds = 0.4;
 constexpr double kShareInSlowSpell = 0.3;
 constexpr double kSlowSpellSeconds = 0.95;  ///< within a controller's patience of a second
-constexpr double kLongestPause = 5;         ///< seconds between two faults
-constexpr double kShareOfMachines = 0.25;   ///< that a fault of machines strikes
+constexpr double kMinLatencySeconds = 0.03;
+constexpr Micros kFirstFaultAt = seconds(8);
+constexpr double kMinPauseSeconds = 0.2;  ///< between two faults
+constexpr double kMaxPauseSeconds = 5;
+constexpr double kBriefSeconds = 0.3;
+constexpr double kShareOfMachines = 0.25;  ///< that a fault of machines concerns
 constexpr Micros kLatestCommand = seconds(10);
 constexpr int kMostCancelled = 6;
 
 }  // namespace
 
-FaultInjector::FaultInjector(Laboratory& lab, Controllers& controllers, StateServer& state,
+FaultInjector::FaultInjector(Laboratory& lab, Controllers& controllers, StoreServer& store,
                              WorkerFleet& workers, UserCrowd& users)
-    : lab_(lab), controllers_(controllers), state_(state), workers_(workers), users_(users) {}
+    : lab_(lab), controllers_(controllers), store_(store), workers_(workers), users_(users) {}
 
 const std::vector<FaultInjector::Fault>& FaultInjector::faults() {
   using F = FaultInjector;
-  static const std::vector<Fault> all{{"kills one controller", &F::kill_one},
-                                      {"kills all controllers", &F::kill_all},
-                                      {"pauses a controller", &F::pause_one},
-                                      {"slows the state service's answers", &F::slow_state_answers},
-                                      {"slows the state service's answers", &F::slow_state_answers},
-                                      {"holds requests to the state service", &F::hold_state_requests},
-                                      {"holds answers of the state service", &F::hold_state_answers},
-                                      {"has one refused by the state service", &F::refuse_one},
-                                      {"takes the state service away", &F::state_outage},
-                                      {"holds messages between two controllers", &F::hold_peer_messages},
-                                      {"refuses connections between controllers", &F::refuse_peers},
-                                      {"leaves a controller its workers alone", &F::isolate_with_workers},
-                                      {"cuts a controller from the workers", &F::cut_from_workers},
-                                      {"ends a machine", &F::kill_machine},
-                                      {"hangs machines", &F::hang_machines},
-                                      {"lets machines reach nobody", &F::mute_machines},
-                                      {"lets nothing reach machines", &F::deafen_machines},
-                                      {"repeats reports late", &F::late_reports},
-                                      {"executes commands late", &F::late_commands},
-                                      {"takes the cloud away", &F::cloud_outage},
-                                      {"calls jobs off", &F::cancel_some}};
+  static const std::vector<Fault> all{
+      {"kills one controller", {0.02, 4, 0.4}, &F::kill_one},
+      {"kills all controllers", {0.1, 4}, &F::kill_all},
+      {"pauses a controller", {0.2, 12}, &F::pause_one},
+      // Twice as often as the others.
+      {"slows the key-value store's answers", {4, 12}, &F::slow_store_answers},
+      {"slows the key-value store's answers", {4, 12}, &F::slow_store_answers},
+      {"holds requests to the key-value store", {0.5, 8}, &F::hold_store_requests},
+      {"holds answers of the key-value store", {0.5, 8}, &F::hold_store_answers},
+      {"lets the key-value store refuse a controller", {2, 10}, &F::refuse_at_store},
+      {"stops the key-value store", {1, 10}, &F::store_outage},
+      {"holds messages between two controllers", {1, 10}, &F::hold_peer_messages},
+      {"refuses connections between controllers", {2, 8}, &F::refuse_peers},
+      {"cuts a controller from all but its workers", {2, 12}, &F::isolate_with_workers},
+      {"cuts a controller from the workers", {2, 12}, &F::cut_from_workers},
+      {"kills a machine", {}, &F::kill_machine},
+      {"hangs machines", {1, 14}, &F::hang_machines},
+      {"makes machines unreachable outbound", {1, 14}, &F::make_unreachable_outbound},
+      {"makes machines unreachable inbound", {1, 14}, &F::make_unreachable_inbound},
+      {"duplicates heartbeats late", {4, 10}, &F::late_heartbeats},
+      {"executes commands late", {4, 10}, &F::late_commands},
+      {"stops the cloud", {2, 10}, &F::cloud_outage},
+      {"cancels jobs", {}, &F::cancel_some}};
   return all;
 }
 
 void FaultInjector::run() {
-  set_state_latency(kShareOfSlowAnswers, kSlowAnswerSeconds);
+  set_store_latency(kShareOfSlowAnswers, kSlowAnswerSeconds);
   if (lab_.plan.faults) lab_.loop.spawn(inject_at_random());
 }
 
 io::Task<> FaultInjector::inject_at_random() {
-  co_await lab_.loop.sleep(seconds(8));
+  co_await lab_.loop.sleep(kFirstFaultAt);
   while (lab_.now() < lab_.plan.faults_for) {
-    const Fault& fault = faults().at(static_cast<std::size_t>(lab_.pick(static_cast<int>(faults().size()))));
-    lab_.history.add(std::string("injector: ") + fault.name);
-    ++injected_;
-    (this->*fault.inject)();
-    co_await lab_.loop.sleep(lab_.between(0.2, kLongestPause));
+    inject(faults().at(static_cast<std::size_t>(lab_.pick(static_cast<int>(faults().size())))));
+    co_await lab_.loop.sleep(lab_.between(kMinPauseSeconds, kMaxPauseSeconds));
   }
-  calm();
+  // What still lasts ends by itself; machines that were lost stay so.
+  lab_.history.add("injector: the last fault was injected");
+  set_store_latency(0, 0);
 }
 
-io::Task<> FaultInjector::later(Micros delay, Action action) {
-  co_await lab_.loop.sleep(delay);
-  action();
+void FaultInjector::inject(const Fault& fault) {
+  lab_.history.add(std::string("injector: ") + fault.name);
+  ++injected_;
+  for (Switch& set : (this->*fault.draw)()) {
+    set(true);
+    lab_.loop.spawn(end_later(draw(fault.duration), std::move(set)));
+  }
 }
 
-void FaultInjector::for_a_while(double from_seconds, double to_seconds, const Action& begin,
-                                const Action& end) {
-  begin();
-  lab_.loop.spawn(later(lab_.between(from_seconds, to_seconds), end));
+io::Task<> FaultInjector::end_later(Micros delay, Switch set) {
+  co_await lab_.loop.sleep(delay);
+  set(false);
 }
 
-/// What still lasts ends by itself within seconds; machines that were lost or changed for good stay so.
-void FaultInjector::calm() {
-  lab_.history.add("injector: all is calm");
-  set_state_latency(0, 0);
+Micros FaultInjector::draw(const Duration& duration) {
+  const bool brief = duration.share_of_brief > 0 && lab_.chance() < duration.share_of_brief;
+  return lab_.between(duration.min, brief ? kBriefSeconds : duration.max);
 }
 
 // ---- controllers ---------------------------------------------------------------------------------
 
-void FaultInjector::kill_one() {
-  const int controller = lab_.pick(kControllers);
-  const double longest = lab_.chance() < 0.4 ? 0.3 : 4;
-  for_a_while(
-      0.02, longest, [&] { controllers_.kill(controller); },
-      [this, controller] { controllers_.start(controller); });
+FaultInjector::Switch FaultInjector::running_switch(int controller) {
+  return [this, controller](bool on) {
+    if (on)
+      controllers_.kill(controller);
+    else
+      controllers_.start(controller);
+  };
 }
 
-void FaultInjector::kill_all() {
-  for (int controller = 0; controller < kControllers; ++controller)
-    for_a_while(
-        0.1, 4, [&] { controllers_.kill(controller); },
-        [this, controller] { controllers_.start(controller); });
+std::vector<FaultInjector::Switch> FaultInjector::kill_one() {
+  return {running_switch(lab_.any_controller())};
+}
+
+std::vector<FaultInjector::Switch> FaultInjector::kill_all() {
+  std::vector<Switch> all;
+  for (int controller = 0; controller < kControllers; ++controller) all.push_back(running_switch(controller));
+  return all;
 }
 
-void FaultInjector::pause_one() {
-  const int controller = lab_.pick(kControllers);
-  for_a_while(
-      0.2, 12, [&] { controllers_.pause(controller); },
-      [this, controller] { controllers_.resume(controller); });
+std::vector<FaultInjector::Switch> FaultInjector::pause_one() {
+  return {[this, controller = lab_.any_controller()](bool on) {
+    if (on)
+      controllers_.pause(controller);
+    else
+      controllers_.resume(controller);
+  }};
 }
 
-void FaultInjector::hold_peer_messages() {
-  const int from = lab_.pick(kControllers);
+std::vector<FaultInjector::Switch> FaultInjector::hold_peer_messages() {
+  const int from = lab_.any_controller();
   const int to = (from + 1 + lab_.pick(kControllers - 1)) % kControllers;
-  for_a_while(
-      1, 10, [&] { controllers_.link(from, to).to_server.held = true; },
-      [this, from, to] { controllers_.link(from, to).to_server.held = false; });
+  return {[this, from, to](bool on) { controllers_.link(from, to).to_server.held = on; }};
 }
 
-void FaultInjector::refuse_peers() {
-  auto set = [this](bool refuses) {
+std::vector<FaultInjector::Switch> FaultInjector::refuse_peers() {
+  return {[this](bool on) {
     for (int from = 0; from < kControllers; ++from)
       for (int to = 0; to < kControllers; ++to)
-        if (from != to) controllers_.link(from, to).refuses = refuses;
-  };
-  for_a_while(
-      2, 8, [&] { set(true); }, [set] { set(false); });
+        if (from != to) controllers_.link(from, to).refuses = on;
+  }};
 }
 
-void FaultInjector::isolate_with_workers() {
-  const int controller = lab_.pick(kControllers);
-  auto set = [this, controller](bool held) {
-    state_.link(controller).to_server.held = state_.link(controller).to_client.held = held;
+std::vector<FaultInjector::Switch> FaultInjector::isolate_with_workers() {
+  return {[this, controller = lab_.any_controller()](bool on) {
+    store_.link(controller).to_server.held = on;
+    store_.link(controller).to_client.held = on;
     for (int other = 0; other < kControllers; ++other) {
       if (other == controller) continue;
-      controllers_.link(controller, other).to_server.held = held;
-      controllers_.link(other, controller).to_server.held = held;
+      controllers_.link(controller, other).to_server.held = on;
+      controllers_.link(other, controller).to_server.held = on;
     }
-  };
-  for_a_while(
-      2, 12, [&] { set(true); }, [set] { set(false); });
+  }};
 }
 
-// ---- the key-value store ---------------------------------------------------------------------------
+// ---- the key-value store -------------------------------------------------------------------------
 
-void FaultInjector::set_state_latency(double share, double longest_seconds) {
+void FaultInjector::set_store_latency(double share, double max_seconds) {
   for (int controller = 0; controller < kControllers; ++controller)
-    state_.link(controller).to_client.latency = [this, share, longest_seconds] {
-      return lab_.chance() < share ? lab_.between(0.03, longest_seconds) : Micros{0};
+    store_.link(controller).to_client.latency = [this, share, max_seconds] {
+      return lab_.chance() < share ? lab_.between(kMinLatencySeconds, max_seconds) : Micros{0};
     };
 }
 
-void FaultInjector::slow_state_answers() {
-  for_a_while(
-      4, 12, [&] { set_state_latency(kShareInSlowSpell, kSlowSpellSeconds); },
-      [this] { set_state_latency(kShareOfSlowAnswers, kSlowAnswerSeconds); });
+std::vector<FaultInjector::Switch> FaultInjector::slow_store_answers() {
+  return {[this](bool on) {
+    if (on)
+      set_store_latency(kShareInSlowSpell, kSlowSpellSeconds);
+    else
+      set_store_latency(kShareOfSlowAnswers, kSlowAnswerSeconds);
+  }};
 }
 
-void FaultInjector::hold_state_requests() {
-  const int controller = lab_.pick(kControllers);
-  for_a_while(
-      0.5, 8, [&] { state_.link(controller).to_server.held = true; },
-      [this, controller] { state_.link(controller).to_server.held = false; });
+std::vector<FaultInjector::Switch> FaultInjector::hold_store_requests() {
+  return {
+      [this, controller = lab_.any_controller()](bool on) { store_.link(controller).to_server.held = on; }};
 }
 
-void FaultInjector::hold_state_answers() {
-  const int controller = lab_.pick(kControllers);
-  for_a_while(
-      0.5, 8, [&] { state_.link(controller).to_client.held = true; },
-      [this, controller] { state_.link(controller).to_client.held = false; });
+std::vector<FaultInjector::Switch> FaultInjector::hold_store_answers() {
+  return {
+      [this, controller = lab_.any_controller()](bool on) { store_.link(controller).to_client.held = on; }};
 }
 
-void FaultInjector::refuse_one() {
-  const int controller = lab_.pick(kControllers);
-  for_a_while(
-      2, 10, [&] { state_.set_refusal(controller, true); },
-      [this, controller] { state_.set_refusal(controller, false); });
+std::vector<FaultInjector::Switch> FaultInjector::refuse_at_store() {
+  return {[this, controller = lab_.any_controller()](bool on) { store_.set_refusal(controller, on); }};
 }
 
-void FaultInjector::state_outage() {
-  for_a_while(
-      1, 10, [&] { state_.set_outage(true); }, [this] { state_.set_outage(false); });
+std::vector<FaultInjector::Switch> FaultInjector::store_outage() {
+  return {[this](bool on) { store_.set_outage(on); }};
 }
 
 // ---- machines, the cloud, users ------------------------------------------------------------------
 
-void FaultInjector::cut_from_workers() {
-  const int controller = lab_.pick(kControllers);
-  for_a_while(
-      2, 12, [&] { workers_.set_cut(controller, true); },
-      [this, controller] { workers_.set_cut(controller, false); });
+std::vector<FaultInjector::Switch> FaultInjector::cut_from_workers() {
+  return {[this, controller = lab_.any_controller()](bool on) { workers_.set_cut(controller, on); }};
 }
 
-void FaultInjector::kill_machine() {
+std::vector<FaultInjector::Switch> FaultInjector::kill_machine() {
   const std::vector<std::string> names = workers_.up();
   if (!names.empty())
     workers_.kill(names.at(static_cast<std::size_t>(lab_.pick(static_cast<int>(names.size())))));
+  return {};
 }
 
-void FaultInjector::with_some_machines(double from_seconds, double to_seconds,
-                                       const std::function<void(sim::SimulatedWorker&, bool)>& set) {
+std::vector<FaultInjector::Switch> FaultInjector::on_some_machines(bool sim::SimulatedWorker::*flag) {
+  std::vector<Switch> switches;
   for (const std::string& name : workers_.up()) {
     if (lab_.chance() > kShareOfMachines) continue;
-    auto change = [this, name, set](bool on) {
-      if (sim::SimulatedWorker* worker = workers_.worker(name)) set(*worker, on);
-    };
-    for_a_while(
-        from_seconds, to_seconds, [&] { change(true); }, [change] { change(false); });
+    switches.push_back([this, name, flag](bool on) {
+      if (sim::SimulatedWorker* worker = workers_.worker(name)) worker->*flag = on;
+    });
   }
+  return switches;
 }
 
-void FaultInjector::hang_machines() {
-  with_some_machines(1, 14, [](sim::SimulatedWorker& worker, bool on) { worker.hanging = on; });
+std::vector<FaultInjector::Switch> FaultInjector::hang_machines() {
+  return on_some_machines(&sim::SimulatedWorker::hanging);
 }
 
-void FaultInjector::mute_machines() {
-  with_some_machines(1, 14, [](sim::SimulatedWorker& worker, bool on) { worker.unreachable_outbound = on; });
+std::vector<FaultInjector::Switch> FaultInjector::make_unreachable_outbound() {
+  return on_some_machines(&sim::SimulatedWorker::unreachable_outbound);
 }
 
-void FaultInjector::deafen_machines() {
-  with_some_machines(1, 14, [](sim::SimulatedWorker& worker, bool on) { worker.unreachable_inbound = on; });
+std::vector<FaultInjector::Switch> FaultInjector::make_unreachable_inbound() {
+  return on_some_machines(&sim::SimulatedWorker::unreachable_inbound);
 }
 
-void FaultInjector::late_reports() {
-  for_a_while(
-      4, 10, [&] { workers_.set_late_reports(true); }, [this] { workers_.set_late_reports(false); });
+std::vector<FaultInjector::Switch> FaultInjector::late_heartbeats() {
+  return {[this](bool on) { workers_.set_late_heartbeats(on); }};
 }
 
-void FaultInjector::late_commands() {
-  for_a_while(
-      4, 10, [&] { workers_.set_late_commands(kLatestCommand); },
-      [this] { workers_.set_late_commands(Micros{0}); });
+std::vector<FaultInjector::Switch> FaultInjector::late_commands() {
+  return {[this](bool on) { workers_.set_late_commands(on ? kLatestCommand : Micros{0}); }};
 }
 
-void FaultInjector::cloud_outage() {
-  for_a_while(
-      2, 10, [&] { workers_.set_cloud_outage(true); }, [this] { workers_.set_cloud_outage(false); });
+std::vector<FaultInjector::Switch> FaultInjector::cloud_outage() {
+  return {[this](bool on) { workers_.set_cloud_outage(on); }};
 }
 
-void FaultInjector::cancel_some() { users_.cancel_some(1 + lab_.pick(kMostCancelled)); }
+std::vector<FaultInjector::Switch> FaultInjector::cancel_some() {
+  users_.cancel_some(1 + lab_.pick(kMostCancelled));
+  return {};
+}
 
 }  // namespace bendtide::lab
--- a/lab/history.h
+++ b/lab/history.h
@@ -10,13 +10,14 @@
 
 namespace bendtide::lab {
 
+/// Keeps the last 500,000 events. Times are those of the function that it is given.
 class History {
  public:
   explicit History(std::function<Micros()> now) : now_(std::move(now)) {}
 
   /// `what` begins with the id of the job, machine or controller that it is about.
   void add(const std::string& what);
-  /// All events that name `subject`; with an empty one, all that are kept.
+  /// Prints the events that name `subject`; with an empty one, all that are kept.
   void print(std::ostream& out, const std::string& subject) const;
 
  private:
--- a/lab/http_server.h
+++ b/lab/http_server.h
@@ -1,4 +1,4 @@
-// A small HTTP server for the laboratory's stand-ins: one address, one handler.
+// A small HTTP server for the simulated services of the laboratory: one address, one handler.
 #pragma once
 
 #include <functional>
--- a/lab/link_proxy.cpp
+++ b/lab/link_proxy.cpp
@@ -8,7 +8,7 @@
 constexpr Micros kConnectWithin = seconds(1);
 constexpr Micros kIdle = seconds(600);
 constexpr Micros kWriteWithin = seconds(5);
-constexpr Micros kLookAgain = millis(5);  ///< whether a held direction has been released
+constexpr Micros kCheckHeldEvery = millis(5);  ///< whether a held direction has been released
 
 }  // namespace
 
@@ -43,7 +43,7 @@
       const Micros latency = direction.latency();
       if (latency > Micros{0}) co_await loop_.sleep(latency);
     }
-    while (direction.held) co_await loop_.sleep(kLookAgain);
+    while (direction.held) co_await loop_.sleep(kCheckHeldEvery);
     if (!co_await sink.write(piece, loop_.now() + kWriteWithin)) break;
     piece.clear();
   }
--- a/lab/soak.cpp
+++ b/lab/soak.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr Micros kLookEvery = millis(100);
+constexpr Micros kCheckEvery = millis(100);
 constexpr Micros kMetricsWithin = seconds(2);
 constexpr char kViolations[] = "bendtide_invariant_violations{";
 
@@ -30,43 +30,40 @@
 
 Soak::Soak(const Plan& plan)
     : lab_(plan),
-      state_(lab_),
+      store_(lab_),
       workers_(lab_),
       controllers_(lab_),
       users_(lab_),
-      injector_(lab_, controllers_, state_, workers_, users_) {}
+      injector_(lab_, controllers_, store_, workers_, users_) {}
 
 Verdict Soak::run() {
   lab_.loop.on_error = [this](const std::string& what) { lab_.history.add("laboratory: " + what); };
-  state_.run();
+  store_.run();
   workers_.run();
   controllers_.run();
   users_.run();
   injector_.run();
   lab_.loop.spawn(stop_at_the_end());
   lab_.loop.run();
-  Verdict verdict;
-  judge(verdict);
-  return verdict;
+  return judge();
 }
 
 io::Task<> Soak::stop_at_the_end() {
   const Micros end = lab_.plan.faults_for + lab_.plan.settle_for;
-  bool calm = false;
+  bool settling = false;
   while (lab_.now() < end && !has_ended()) {
     lab_.checker.check_cancelled_jobs(lab_.now());
-    if (!calm && lab_.now() >= lab_.plan.faults_for) {
-      calm = true;
+    if (!settling && lab_.now() >= lab_.plan.faults_for) {
+      settling = true;
       lab_.checker.set_settled(lab_.now());
     }
-    co_await lab_.loop.sleep(kLookEvery);
+    co_await lab_.loop.sleep(kCheckEvery);
   }
   for (int i = 0; i < kControllers; ++i) co_await read_metrics(i);
   lab_.closing = true;
   lab_.loop.stop();
 }
 
-/// All work is done; or the planted fault has been seen, which else needs all of the time.
 bool Soak::has_ended() const {
   if (!lab_.plan.expected_rule.empty()) return lab_.checker.violations().contains(lab_.plan.expected_rule);
   return lab_.now() >= lab_.plan.faults_for && users_.unfinished().empty();
@@ -79,29 +76,36 @@
   metrics_.at(static_cast<std::size_t>(controller)) = result.body;
 }
 
-void Soak::judge(Verdict& verdict) {
+Verdict Soak::judge() {
+  Verdict verdict;
   lab_.checker.finish();
   for (const auto& [rule, cases] : lab_.checker.violations()) {
     verdict.broken_rules.push_back(rule);
-    for (const std::string& what : cases) verdict.faults.push_back(labelled(rule, what));
+    for (const std::string& what : cases) verdict.violations.push_back(labelled(rule, what));
   }
-  for (const std::string& what : users_.unfinished()) verdict.faults.push_back(labelled("unfinished", what));
+  for (const std::string& what : users_.unfinished())
+    verdict.violations.push_back(labelled("unfinished", what));
   if (controllers_.unexpected_ends() > 0)
-    verdict.faults.push_back("controllers that ended by themselves: " +
-                             std::to_string(controllers_.unexpected_ends()));
+    verdict.violations.push_back("controllers that ended unexpectedly: " +
+                                 std::to_string(controllers_.unexpected_ends()));
   for (int i = 0; i < kControllers; ++i) {
     const std::string& metrics = metrics_.at(static_cast<std::size_t>(i));
     if (metrics.empty())
-      verdict.faults.push_back(labelled(Laboratory::host(i), "shows no metrics at the end"));
-    for (const std::string& line : violations_in(metrics)) verdict.faults.push_back(line);
+      verdict.violations.push_back(labelled(Laboratory::host(i), "serves no metrics at the end"));
+    for (const std::string& line : violations_in(metrics)) verdict.violations.push_back(line);
     for (const std::string& line : controllers_.errors(i))
-      verdict.faults.push_back(labelled("in a log", line));
+      verdict.violations.push_back(labelled("in a log", line));
   }
-  std::ostringstream summary;
-  summary << users_.accepted() << " of " << users_.submitted() << " jobs accepted, " << users_.answers()
-          << " answers and " << users_.refusals() << " refusals, " << injector_.injected() << " faults, in "
-          << in_seconds(lab_.now()) << " s";
-  verdict.summary = summary.str();
+  verdict.summary = summary();
+  return verdict;
+}
+
+std::string Soak::summary() const {
+  std::ostringstream text;
+  text << users_.accepted() << " of " << users_.submitted() << " jobs accepted, " << users_.answers()
+       << " answers and " << users_.refusals() << " refusals, " << injector_.injected() << " faults, in "
+       << in_seconds(lab_.now()) << " s";
+  return text.str();
 }
 
 }  // namespace bendtide::lab
--- a/lab/soak_main.cpp
+++ b/lab/soak_main.cpp
@@ -13,26 +13,26 @@
 
 namespace {
 
-using bendtide::lab::PlantedFault;
+using bendtide::lab::PlantedDefect;
 using bendtide::lab::Verdict;
 
-constexpr std::size_t kShown = 20;  ///< faults; the rest is counted
+constexpr std::size_t kViolationsShown = 20;  ///< the rest is counted
 // Where no port is given, the process takes one of so many ranges.
 constexpr int kFirstPort = 10'000;
 constexpr int kPortRanges = 400;
 constexpr int kPortsInRange = 40;
 
-const std::map<std::string, PlantedFault>& planted_faults() {
-  static const std::map<std::string, PlantedFault> all{{"none", PlantedFault::none},
-                                                       {"start_twice", PlantedFault::start_twice},
-                                                       {"keep_cancelled", PlantedFault::keep_cancelled},
-                                                       {"deny_jobs", PlantedFault::deny_jobs},
-                                                       {"invent_jobs", PlantedFault::invent_jobs},
-                                                       {"call_done_early", PlantedFault::call_done_early},
-                                                       {"take_back", PlantedFault::take_back},
-                                                       {"start_nothing", PlantedFault::start_nothing},
-                                                       {"exceed_limits", PlantedFault::exceed_limits},
-                                                       {"misplace", PlantedFault::misplace}};
+const std::map<std::string, PlantedDefect>& planted_defects() {
+  static const std::map<std::string, PlantedDefect> all{{"none", PlantedDefect::none},
+                                                        {"start_twice", PlantedDefect::start_twice},
+                                                        {"keep_cancelled", PlantedDefect::keep_cancelled},
+                                                        {"deny_jobs", PlantedDefect::deny_jobs},
+                                                        {"invent_jobs", PlantedDefect::invent_jobs},
+                                                        {"call_done_early", PlantedDefect::call_done_early},
+                                                        {"take_back", PlantedDefect::take_back},
+                                                        {"start_nothing", PlantedDefect::start_nothing},
+                                                        {"exceed_limits", PlantedDefect::exceed_limits},
+                                                        {"misplace", PlantedDefect::misplace}};
   return all;
 }
 
@@ -58,7 +58,7 @@
   plan.machines = options.machines;
   plan.jobs_per_second = options.rate;
   plan.faults = !options.no_faults;
-  plan.planted = planted_faults().at(options.planted);
+  plan.planted_defect = planted_defects().at(options.planted);
   plan.expected_rule = options.expect;
   plan.program = options.program;
   plan.directory = options.directory;
@@ -67,8 +67,8 @@
   return plan;
 }
 
-/// With --expect: whether exactly the checker of that rule has seen the planted fault.
-int report(const Options& options, const Verdict& verdict, const bendtide::lab::Soak& soak) {
+/// Prints the result and returns the exit status. With --expect, 0 if the planted defect violated that rule.
+int print_result(const Options& options, const Verdict& verdict, const bendtide::lab::Soak& soak) {
   std::cout << "seed " << options.seed << ": " << verdict.summary << "\n";
   if (!options.expect.empty()) {
     const bool seen =
@@ -76,18 +76,18 @@
     std::cout << options.planted << (seen ? " is seen as " : " is NOT seen as ") << options.expect << "\n";
     return seen ? 0 : 1;
   }
-  if (verdict.faults.empty()) {
-    std::cout << "no rule broken, all work done\n";
+  if (verdict.violations.empty()) {
+    std::cout << "no rule violated, all work done\n";
     std::filesystem::remove_all(options.directory);
     return 0;
   }
-  for (std::size_t i = 0; i < std::min(kShown, verdict.faults.size()); ++i)
-    std::cout << "FAULT " << verdict.faults[i] << "\n";
+  for (std::size_t i = 0; i < std::min(kViolationsShown, verdict.violations.size()); ++i)
+    std::cout << "VIOLATION " << verdict.violations[i] << "\n";
   const std::string history = options.directory + "/history.txt";
   std::ofstream out(history);
   soak.print_history(out, "");
-  std::cout << verdict.faults.size() << " faults. Logs and history: " << options.directory
-            << "\nplay it again: bendtide_soak --program " << options.program << " --seed " << options.seed
+  std::cout << verdict.violations.size() << " violations. Logs and history: " << options.directory
+            << "\nrun it again: bendtide_soak --program " << options.program << " --seed " << options.seed
             << " --duration " << options.duration << " --settle " << options.settle << " --machines "
             << options.machines << " --rate " << options.rate << "\n";
   return 1;
@@ -99,18 +99,19 @@
   Options options;
   CLI::App app{"bendtide_soak: three controllers on loopback under random faults, every rule checked"};
   app.add_option("--program", options.program, "the controller to be tried")->required();
-  app.add_option("--seed", options.seed, "what the faults and the users' jobs are drawn from");
-  app.add_option("--duration", options.duration, "seconds in which faults strike and users submit");
+  app.add_option("--seed", options.seed, "from which the faults and the users' jobs are drawn");
+  app.add_option("--duration", options.duration, "seconds in which faults are injected and users submit");
   app.add_option("--settle", options.settle, "seconds after that until all work has to be done, at most");
   app.add_option("--machines", options.machines, "how many the cloud has");
   app.add_option("--rate", options.rate, "jobs a second");
   app.add_option("--port", options.base_port,
                  "the first of 40 ports; without it, one drawn from the process");
-  app.add_option("--directory", options.directory, "for settings and logs; kept if there is a fault");
+  app.add_option("--directory", options.directory, "for settings and logs; kept if there is a violation");
   app.add_flag("--no-faults", options.no_faults, "nothing goes wrong but what is planted");
-  app.add_option("--planted", options.planted, "a fault in the stand-ins, for seeing that a checker sees it")
-      ->check(CLI::IsMember(planted_faults()));
-  app.add_option("--expect", options.expect, "the rule that the planted fault has to break");
+  app.add_option("--planted", options.planted,
+                 "a defect of the simulated services, to show that a checker finds it")
+      ->check(CLI::IsMember(planted_defects()));
+  app.add_option("--expect", options.expect, "the rule that the planted defect has to violate");
   CLI11_PARSE(app, argc, argv);
   if (options.directory.empty())
     options.directory = std::filesystem::temp_directory_path() / ("soak-" + std::to_string(::getpid()));
@@ -119,7 +120,7 @@
     std::filesystem::create_directories(options.directory);
     bendtide::lab::Soak soak(plan_of(options));
     const Verdict verdict = soak.run();
-    status = report(options, verdict, soak);
+    status = print_result(options, verdict, soak);
   } catch (const std::exception& e) {
     std::cerr << "bendtide_soak: " << e.what() << "\n";
   }
--- a/lab/state_server.h
+++ b/lab/store_server.h
@@ -1,4 +1,4 @@
-// The key-value store's stand-in: one store, a port for each controller, and faults for each of them.
+// The simulated key-value store as a server: one store, a port for each controller, and faults for each port.
 #pragma once
 
 #include <array>
@@ -10,16 +10,16 @@
 
 namespace bendtide::lab {
 
-class StateServer {
+class StoreServer {
  public:
-  explicit StateServer(Laboratory& lab);
+  explicit StoreServer(Laboratory& lab);
   void run();
 
-  /// Everybody is refused.
+  /// During an outage all controllers are refused.
   void set_outage(bool on);
   /// One controller is refused, while the others are served.
   void set_refusal(int controller, bool on) { ports_.at(static_cast<std::size_t>(controller)).refused = on; }
-  /// The way between a controller and the service.
+  /// The link between a controller and the store.
   LinkProxy& link(int controller) { return *ports_.at(static_cast<std::size_t>(controller)).link; }
 
  private:
--- a/lab/user_crowd.cpp
+++ b/lab/user_crowd.cpp
@@ -17,11 +17,11 @@
 constexpr Micros kPollFinalEvery = seconds(5);
 constexpr Micros kRetryAfter = seconds(1);
 constexpr Micros kGiveUpAfter = seconds(60);
-constexpr double kShareInHaste = 0.5;
-constexpr double kShareCancelled = 0.5;  ///< of those in haste
-constexpr double kHaste = 0.3;           ///< seconds from an acceptance to what follows it
+constexpr double kShareImpatient = 0.5;
+constexpr double kShareCancelled = 0.5;    ///< of the jobs of impatient users
+constexpr double kActWithinSeconds = 0.3;  ///< after the acceptance
 constexpr double kShareOfServices = 0.1;
-const std::string kNobodysJob = "run-7";
+const std::string kUnknownJob = "run-7";
 
 std::optional<JobPhase> phase_of(const std::string& text) {
   for (const JobPhase phase : {JobPhase::pending, JobPhase::running, JobPhase::done, JobPhase::cancelled})
@@ -35,7 +35,7 @@
 
 void UserCrowd::run() {
   lab_.loop.spawn(arrive());
-  lab_.loop.spawn(ask_about_nothing());
+  lab_.loop.spawn(poll_unknown_job());
 }
 
 io::Task<> UserCrowd::arrive() {
@@ -68,7 +68,10 @@
   spec.tasks = static_cast<std::uint32_t>(1 + lab_.pick(4));
   spec.estimate = lab_.between(1, 5);
   spec.spot = lab_.chance() < 0.5;
-  if (lab_.chance() < 0.2) spec.checkpoint = seconds(1), spec.save = seconds(1);
+  if (lab_.chance() < 0.2) {
+    spec.checkpoint = seconds(1);
+    spec.save = seconds(1);
+  }
   if (lab_.chance() < 0.2) spec.zone = lab_.chance() < 0.5 ? "east" : "west";
   return spec;
 }
@@ -78,11 +81,11 @@
 io::Task<> UserCrowd::live(User& user) {
   const bool accepted = co_await submit(user);
   if (!accepted) co_return;
-  if (lab_.chance() < kShareInHaste) lab_.loop.spawn(hurry(user));
+  if (lab_.chance() < kShareImpatient) lab_.loop.spawn(act_at_acceptance(user));
   while (!lab_.closing) {
-    const int controller = any_controller();
+    const int controller = lab_.any_controller();
     co_await poll_at(user, controller);
-    const Micros pause = user.over ? kPollFinalEvery : kPollEvery;
+    const Micros pause = user.answered_final ? kPollFinalEvery : kPollEvery;
     co_await lab_.loop.sleep(pause);
   }
 }
@@ -90,15 +93,15 @@
 io::Task<bool> UserCrowd::submit(User& user) {
   const Micros since = lab_.now();
   JobSpec sent = user.spec;
-  if (lab_.plan.planted == PlantedFault::misplace) sent.zone.reset();
+  if (lab_.plan.planted_defect == PlantedDefect::misplace) sent.zone.reset();
   while (lab_.now() - since < kGiveUpAfter && !lab_.closing) {
-    const Micros asked = lab_.now();
-    Question question{user.spec.id, "POST", kWork, wire::body_of(sent), any_controller(), kSubmitWithin};
-    const Answer answer = co_await ask(std::move(question));
+    const Micros asked_at = lab_.now();
+    Request request{user.spec.id, "POST", kWork, wire::body_of(sent), lab_.any_controller(), kSubmitWithin};
+    const Answer answer = co_await send(std::move(request));
     if (answer.status == 200 || answer.status == 201) {
       user.accepted = true;
       lab_.checker.accepted(user.spec.id, lab_.now());
-      tell_checker(user, answer, asked);
+      record_answer(user, answer, asked_at);
       co_return true;
     }
     co_await lab_.loop.sleep(kRetryAfter);
@@ -106,22 +109,24 @@
   co_return false;
 }
 
-/// Asks everywhere, submits once more, and perhaps cancels, all within a fraction of a second.
-io::Task<> UserCrowd::hurry(User& user) {
-  look_closely(user);
+/// Polls all controllers, submits once more, and perhaps cancels, all within a fraction of a second.
+io::Task<> UserCrowd::act_at_acceptance(User& user) {
+  poll_everywhere(user);
   lab_.loop.spawn(submit_again(user));
-  const Micros delay = lab_.between(0, kHaste);
-  // A fault that shows in cancelled jobs only needs some that would run on for long.
-  const bool cancels = lab_.plan.planted == PlantedFault::keep_cancelled || lab_.chance() < kShareCancelled;
+  const Micros delay = lab_.between(0, kActWithinSeconds);
+  // A defect that shows only in cancelled jobs needs some that would run on for long.
+  const bool cancels =
+      lab_.plan.planted_defect == PlantedDefect::keep_cancelled || lab_.chance() < kShareCancelled;
   if (cancels) co_await cancel(user, delay);
 }
 
 io::Task<> UserCrowd::submit_again(User& user) {
-  co_await lab_.loop.sleep(lab_.between(0, kHaste));
-  const Micros asked = lab_.now();
-  Question question{user.spec.id, "POST", kWork, wire::body_of(user.spec), any_controller(), kSubmitWithin};
-  const Answer answer = co_await ask(std::move(question));
-  tell_checker(user, answer, asked);
+  co_await lab_.loop.sleep(lab_.between(0, kActWithinSeconds));
+  const Micros asked_at = lab_.now();
+  Request request{user.spec.id,          "POST",       kWork, wire::body_of(user.spec),
+                  lab_.any_controller(), kSubmitWithin};
+  const Answer answer = co_await send(std::move(request));
+  record_answer(user, answer, asked_at);
 }
 
 io::Task<> UserCrowd::cancel(User& user, Micros delay) {
@@ -129,13 +134,13 @@
   co_await lab_.loop.sleep(delay);
   lab_.checker.cancel_requested(user.spec.id);
   while (!lab_.closing) {
-    const Micros asked = lab_.now();
-    Question question{user.spec.id, "POST",           job_target(user.spec.id) + kCancel,
-                      "{}",         any_controller(), kSubmitWithin};
-    const Answer answer = co_await ask(std::move(question));
-    tell_checker(user, answer, asked);
+    const Micros asked_at = lab_.now();
+    Request request{user.spec.id,          "POST",       job_target(user.spec.id) + kCancel, "{}",
+                    lab_.any_controller(), kSubmitWithin};
+    const Answer answer = co_await send(std::move(request));
+    record_answer(user, answer, asked_at);
     if (answer.status == 200 && is_final(answer.phase)) {
-      look_closely(user);
+      poll_everywhere(user);
       co_return;
     }
     co_await lab_.loop.sleep(kRetryAfter);
@@ -145,61 +150,65 @@
 void UserCrowd::cancel_some(int count) {
   for (const auto& user : users_) {
     if (count <= 0) return;
-    if (!user->accepted || user->over || user->cancelling || !lab_.checker.is_running(user->spec.id))
+    if (!user->accepted || user->answered_final || user->cancelling ||
+        !lab_.checker.is_running(user->spec.id))
       continue;
     --count;
     lab_.loop.spawn(cancel(*user, lab_.between(0, 0.2)));
   }
 }
 
-void UserCrowd::look_closely(User& user) {
+void UserCrowd::poll_everywhere(User& user) {
   for (int i = 0; i < kControllers; ++i) lab_.loop.spawn(poll_at(user, i));
 }
 
 io::Task<> UserCrowd::poll_at(User& user, int controller) {
-  const Micros asked = lab_.now();
-  Question question{user.spec.id, "GET", job_target(user.spec.id), "", controller, kPollWithin};
-  Answer answer = co_await ask(std::move(question));
-  plant(user, answer);
-  if (answer.status == 0 || answer.status == 503) {
+  const Micros asked_at = lab_.now();
+  Request request{user.spec.id, "GET", job_target(user.spec.id), "", controller, kPollWithin};
+  const Answer received = co_await send(std::move(request));
+  const Answer answer = with_planted_defect(user, received);
+  if (is_refusal(answer)) {
     lab_.checker.unanswered(user.spec.id, lab_.now());
     co_return;
   }
-  tell_checker(user, answer, asked);
+  record_answer(user, answer, asked_at);
 }
 
-void UserCrowd::tell_checker(User& user, const Answer& answer, Micros asked) {
-  if (answer.status == 0 || answer.status == 503) return;
-  lab_.checker.answered(user.spec.id, answer.status, answer.phase, asked, lab_.now());
+void UserCrowd::record_answer(User& user, const Answer& answer, Micros asked_at) {
+  if (is_refusal(answer)) return;
+  lab_.checker.answered(user.spec.id, answer.status, answer.phase, asked_at, lab_.now());
   if (answer.status != 200) return;
-  user.last = answer.phase;
-  user.over |= is_final(answer.phase);
+  user.last_phase = answer.phase;
+  user.answered_final |= is_final(answer.phase);
 }
 
-io::Task<> UserCrowd::ask_about_nothing() {
+io::Task<> UserCrowd::poll_unknown_job() {
   while (!lab_.closing) {
     co_await lab_.loop.sleep(seconds(5));
-    const Micros asked = lab_.now();
-    Question question{kNobodysJob, "GET", job_target(kNobodysJob), "", any_controller(), kPollWithin};
-    Answer answer = co_await ask(std::move(question));
-    if (lab_.plan.planted == PlantedFault::invent_jobs && answer.status == 404) answer.status = 200;
-    lab_.checker.answered(kNobodysJob, answer.status, answer.phase, asked, lab_.now());
+    const Micros asked_at = lab_.now();
+    Request request{kUnknownJob, "GET", job_target(kUnknownJob), "", lab_.any_controller(), kPollWithin};
+    Answer answer = co_await send(std::move(request));
+    if (lab_.plan.planted_defect == PlantedDefect::invent_jobs && answer.status == 404) answer.status = 200;
+    lab_.checker.answered(kUnknownJob, answer.status, answer.phase, asked_at, lab_.now());
   }
 }
 
-// ---- questions and answers -----------------------------------------------------------------------
+// ---- requests and answers -----------------------------------------------------------------------
 
-io::Task<UserCrowd::Answer> UserCrowd::ask(Question question) {
-  const Micros asked = lab_.now();
-  HttpCall call{lab_.address(Laboratory::user_port(question.controller)), question.method, question.target,
-                std::move(question.body), question.within};
+io::Task<UserCrowd::Answer> UserCrowd::send(Request request) {
+  const Micros asked_at = lab_.now();
+  HttpCall call{lab_.address(Laboratory::user_port(request.controller)), request.method, request.target,
+                std::move(request.body), request.within};
   const io::HttpClient::Result result = co_await perform(lab_.loop, std::move(call));
-  const Answer answer = read(question.job, result);
-  ++(answer.status == 0 || answer.status == 503 ? refusals_ : answers_);
-  lab_.history.add(question.job + ": " + question.method + " " + question.target + " at " +
-                   Laboratory::host(question.controller) + " -> " + std::to_string(answer.status) + " " +
-                   to_text(answer.phase) + " after " + std::to_string((lab_.now() - asked).count() / 1000) +
-                   " ms");
+  const Answer answer = read(request.job, result);
+  if (is_refusal(answer))
+    ++refusals_;
+  else
+    ++answers_;
+  lab_.history.add(request.job + ": " + request.method + " " + request.target + " at " +
+                   Laboratory::host(request.controller) + " -> " + std::to_string(answer.status) + " " +
+                   to_text(answer.phase) + " after " +
+                   std::to_string((lab_.now() - asked_at).count() / 1000) + " ms");
   co_return answer;
 }
 
@@ -209,20 +218,22 @@
   const json body = json::parse(result.body, nullptr, false);
   const std::optional<JobPhase> phase =
       body.is_object() ? phase_of(body.value(kPhase, std::string())) : std::nullopt;
-  // An answer that can't be read, or about another job, is none.
+  // An answer that can't be read, or that is about another job, counts as none.
   if (!phase || body.value(kUid, std::string()) != id) return {};
   answer.phase = *phase;
   return answer;
 }
 
-void UserCrowd::plant(const User& user, Answer& answer) const {
-  if (answer.status != 200) return;
-  const PlantedFault planted = lab_.plan.planted;
-  if (planted == PlantedFault::deny_jobs) answer.status = 404;
-  if (planted == PlantedFault::call_done_early && answer.phase == JobPhase::running)
+UserCrowd::Answer UserCrowd::with_planted_defect(const User& user, Answer answer) const {
+  if (answer.status != 200) return answer;
+  const PlantedDefect planted = lab_.plan.planted_defect;
+  if (planted == PlantedDefect::deny_jobs) answer.status = 404;
+  if (planted == PlantedDefect::call_done_early && answer.phase == JobPhase::running)
     answer.phase = JobPhase::done;
-  if (planted == PlantedFault::take_back && answer.phase == JobPhase::done && user.last == JobPhase::done)
+  if (planted == PlantedDefect::take_back && answer.phase == JobPhase::done &&
+      user.last_phase == JobPhase::done)
     answer.phase = JobPhase::running;
+  return answer;
 }
 
 // ---- the end -------------------------------------------------------------------------------------
@@ -240,7 +251,7 @@
       out.push_back(id + " was not accepted");
     else if (user->spec.shape == Shape::service && !user->cancelling && !lab_.checker.is_running(id))
       out.push_back(id + " does not run");
-    else if ((user->spec.shape == Shape::array || user->cancelling) && !user->over)
+    else if ((user->spec.shape == Shape::array || user->cancelling) && !user->answered_final)
       out.push_back(id + " is not over");
   }
   return out;
--- a/lab/user_crowd.h
+++ b/lab/user_crowd.h
@@ -1,5 +1,5 @@
-// Users: they submit, ask, submit again and cancel, some of them in great haste, and tell the checker what
-// they are answered.
+// Users: they submit, poll, submit again and cancel, some of them at the moment of acceptance, and tell the
+// checker what they are answered.
 #pragma once
 
 #include <memory>
@@ -16,7 +16,7 @@
   explicit UserCrowd(Laboratory& lab) : lab_(lab) {}
   void run();
 
-  /// That many jobs that run are called off within a fifth of a second.
+  /// Users of up to `count` running jobs cancel them within a fifth of a second.
   void cancel_some(int count);
   /// What should have been reached by the end and was not.
   std::vector<std::string> unfinished() const;
@@ -30,8 +30,8 @@
     JobSpec spec;
     bool accepted = false;
     bool cancelling = false;
-    bool over = false;
-    std::optional<JobPhase> last;
+    bool answered_final = false;         ///< that the job is done or cancelled
+    std::optional<JobPhase> last_phase;  ///< that they were answered
   };
   struct Answer {
     int status = 0;
@@ -42,14 +42,15 @@
   JobSpec draw_spec();
   io::Task<> live(User& user);
   io::Task<bool> submit(User& user);
-  io::Task<> hurry(User& user);
+  io::Task<> act_at_acceptance(User& user);
   io::Task<> submit_again(User& user);
   io::Task<> cancel(User& user, Micros delay);
   io::Task<> poll_at(User& user, int controller);
-  io::Task<> ask_about_nothing();
-  void look_closely(User& user);
-  void tell_checker(User& user, const Answer& answer, Micros asked);
-  struct Question {
+  io::Task<> poll_unknown_job();
+  void poll_everywhere(User& user);
+  void record_answer(User& user, const Answer& answer, Micros asked_at);
+  static bool is_refusal(const Answer& answer) { return answer.status == 0 || answer.status == 503; }
+  struct Request {
     std::string job;
     std::string method;
     std::string target;
@@ -57,12 +58,11 @@
     int controller = 0;
     Micros within{0};
   };
-  /// Asks one controller: answered, refused, or not answered in time. Callers name the question, as GCC 12
+  /// Sends a request to one controller. Status 0: not answered in time. Callers name the request, as GCC 12
   /// destroys some temporaries of a co_await expression twice.
-  io::Task<Answer> ask(Question question);
+  io::Task<Answer> send(Request request);
   Answer read(const std::string& id, const io::HttpClient::Result& result) const;
-  void plant(const User& user, Answer& answer) const;
-  int any_controller() { return lab_.pick(kControllers); }
+  Answer with_planted_defect(const User& user, Answer answer) const;
 
   Laboratory& lab_;
   std::vector<std::unique_ptr<User>> users_;
--- a/lab/worker_fleet.cpp
+++ b/lab/worker_fleet.cpp
@@ -12,13 +12,13 @@
 namespace {
 
 constexpr Micros kStep = millis(20);
-constexpr Micros kReportWithin = Settings::kWorkerPatience;
+constexpr Micros kHeartbeatWithin = Settings::kWorkerPatience;
 constexpr Micros kUnreachable = seconds(3);  ///< longer than any controller waits for an answer
-constexpr int kAddressesInBlock = 250;
+constexpr int kAddressesPerBlock = 250;
 constexpr int kMachinesAtStart = 6;
-constexpr std::uint64_t kHigherToken = 1'000'000;  ///< than any that a controller holds
+constexpr std::uint64_t kUnusedTokens = 1'000'000;  ///< above all fencing tokens of controllers
 constexpr double kShareOfLateCommands = 0.2;
-constexpr double kShareOfLateReports = 0.3;
+constexpr double kShareOfLateHeartbeats = 0.3;
 
 std::vector<MachineType> machine_types() {
   const MachineType small{"small", {8000, 0, 64000}, 50, 4, 0.5, 0.12, seconds(2), {"east", "west"}};
@@ -41,10 +41,10 @@
 }
 
 void WorkerFleet::bring_up(sim::SimulatedCloud::Machine& machine) {
-  // Each has an address of its own, so that what is sent late reaches no other.
+  // Each has an address of its own, so that a late message reaches no other machine.
   const int number = next_address_++;
-  machine.address = "127.1." + std::to_string(number / kAddressesInBlock) + "." +
-                    std::to_string(number % kAddressesInBlock + 1) + ":" +
+  machine.address = "127.1." + std::to_string(number / kAddressesPerBlock) + "." +
+                    std::to_string(number % kAddressesPerBlock + 1) + ":" +
                     std::to_string(lab_.plan.base_port + Laboratory::worker_port());
   lab_.loop.spawn(boot(machine.name));
 }
@@ -65,12 +65,12 @@
   };
   found->second.worker = std::make_unique<sim::SimulatedWorker>(
       found->second, *cloud_.type(found->second.type), lab_.settings, std::move(hooks), lab_.now());
-  desks_.push_back(std::make_unique<HttpServer>(
+  command_servers_.push_back(std::make_unique<HttpServer>(
       lab_.loop, found->second.address,
       [this, machine](http::Message request) { return serve_commands(machine, std::move(request)); }));
-  lab_.loop.spawn(desks_.back()->run());
+  lab_.loop.spawn(command_servers_.back()->run());
   lab_.history.add(machine + ": is up");
-  co_await live(machine);
+  co_await run_worker(machine);
 }
 
 std::vector<std::string> WorkerFleet::up() {
@@ -89,7 +89,7 @@
 void WorkerFleet::kill(const std::string& machine) {
   const auto found = cloud_.machines().find(machine);
   if (found == cloud_.machines().end() || found->second.dead) return;
-  lab_.history.add(machine + ": dies");
+  lab_.history.add(machine + ": is killed");
   sim::SimulatedCloud::kill(found->second);
 }
 
@@ -113,43 +113,43 @@
     co_await lab_.loop.sleep(kUnreachable);
     co_return HttpReply{503, "{}"};
   }
-  const std::string body = with_planted_fault(machine, request.body);
+  const std::string body = with_planted_defect(machine, request.body);
   const sim::Response response = reached->handle_commands(body, lab_.now());
-  if (response.status == 200) record_orders(machine, body, "directly");
+  if (response.status == 200) record_commands(machine, body, "directly");
   co_return HttpReply{response.status, response.body};
 }
 
-void WorkerFleet::record_orders(const std::string& machine, const std::string& body, const char* how) {
+void WorkerFleet::record_commands(const std::string& machine, const std::string& body, const char* how) {
   const json message = json::parse(body, nullptr, false);
   if (!message.is_object() || !message.contains(kCommandList)) return;
-  for (const json& order : message.at(kCommandList))
-    lab_.history.add(order.at(kTask).get<std::string>() + " attempt " + order.at(kAttempt).dump() + ": " +
-                     machine + " is told " + how + " to " + order.at(kVerb).get<std::string>() +
+  for (const json& command : message.at(kCommandList))
+    lab_.history.add(command.at(kTask).get<std::string>() + " attempt " + command.at(kAttempt).dump() + ": " +
+                     machine + " is commanded " + how + " to " + command.at(kVerb).get<std::string>() +
                      " under token " + message.value(kToken, json(nullptr)).dump());
 }
 
-std::string WorkerFleet::with_planted_fault(const std::string& machine, const std::string& body) {
-  const PlantedFault planted = lab_.plan.planted;
-  const char* dropped = planted == PlantedFault::keep_cancelled  ? "kill"
-                        : planted == PlantedFault::start_nothing ? "run"
-                                                                 : nullptr;
-  if (dropped == nullptr && planted != PlantedFault::start_twice) return body;
+std::string WorkerFleet::with_planted_defect(const std::string& machine, const std::string& body) {
+  const PlantedDefect planted = lab_.plan.planted_defect;
+  const char* dropped = nullptr;  // the verb of the commands that are lost
+  if (planted == PlantedDefect::keep_cancelled) dropped = "kill";
+  if (planted == PlantedDefect::start_nothing) dropped = "run";
+  if (dropped == nullptr && planted != PlantedDefect::start_twice) return body;
   json message = json::parse(body, nullptr, false);
   if (!message.is_object() || !message.contains(kCommandList)) return body;
   json kept = json::array();
-  for (const json& order : message.at(kCommandList))
-    if (dropped == nullptr || order.at(kVerb) != dropped) kept.push_back(order);
+  for (const json& command : message.at(kCommandList))
+    if (dropped == nullptr || command.at(kVerb) != dropped) kept.push_back(command);
   message[kCommandList] = kept;
-  if (planted == PlantedFault::start_twice) start_elsewhere(machine, message);
+  if (planted == PlantedDefect::start_twice) start_elsewhere(machine, message);
   return message.dump();
 }
 
-/// Shows another machine the same commands, under a fencing token that it must accept.
+/// Sends the same commands to another machine, with a fencing token that it has to accept.
 void WorkerFleet::start_elsewhere(const std::string& machine, const json& message) {
   for (const std::string& other : up()) {
     if (other == machine) continue;
     json copy = message;
-    copy[kToken] = message.value(kToken, std::uint64_t{0}) + kHigherToken;
+    copy[kToken] = message.value(kToken, std::uint64_t{0}) + kUnusedTokens;
     copy[kSession] = 1;
     worker(other)->handle_commands(copy.dump(), lab_.now());
     return;
@@ -158,15 +158,15 @@
 
 // ---- heartbeats -------------------------------------------------------------------------------------
 
-io::Task<> WorkerFleet::live(std::string machine) {
+io::Task<> WorkerFleet::run_worker(std::string machine) {
   while (sim::SimulatedWorker* self = worker(machine)) {
     self->advance(lab_.now());
-    if (self->heartbeat_due(lab_.now())) lab_.loop.spawn(report(machine));
+    if (self->heartbeat_due(lab_.now())) lab_.loop.spawn(send_heartbeat(machine));
     co_await lab_.loop.sleep(kStep);
   }
 }
 
-int WorkerFleet::controller_to_report_to(sim::SimulatedWorker& worker) {
+int WorkerFleet::target_controller(sim::SimulatedWorker& worker) {
   if (worker.target.empty())
     worker.target = Laboratory::host(static_cast<int>(worker.next_controller++ % kControllers));
   for (int i = 0; i < kControllers; ++i)
@@ -174,9 +174,9 @@
   return 0;
 }
 
-io::Task<> WorkerFleet::report(std::string machine) {
+io::Task<> WorkerFleet::send_heartbeat(std::string machine) {
   sim::SimulatedWorker* self = worker(machine);
-  const int controller = controller_to_report_to(*self);
+  const int controller = target_controller(*self);
   const std::string body = self->begin_heartbeat(lab_.now());
   const std::uint64_t number = self->heartbeat_number();
   const Micros sent_at = lab_.now();
@@ -184,8 +184,9 @@
   if (self->unreachable_outbound || cut_.at(static_cast<std::size_t>(controller))) {
     co_await lab_.loop.sleep(seconds(1));
   } else {
-    if (late_reports_ && lab_.chance() < kShareOfLateReports) lab_.loop.spawn(repeat_report(body));
-    HttpCall call{lab_.address(Laboratory::user_port(controller)), "POST", kCheckin, body, kReportWithin};
+    if (late_heartbeats_ && lab_.chance() < kShareOfLateHeartbeats)
+      lab_.loop.spawn(repeat_heartbeat_late(body));
+    HttpCall call{lab_.address(Laboratory::user_port(controller)), "POST", kCheckin, body, kHeartbeatWithin};
     result = co_await perform(lab_.loop, std::move(call));
   }
   self = worker(machine);
@@ -194,22 +195,22 @@
     self = worker(machine);
   }
   if (self == nullptr || !self->awaits_answer() || self->heartbeat_number() != number) co_return;
-  const bool in_time = lab_.now() - sent_at < kReportWithin;
+  const bool in_time = lab_.now() - sent_at < kHeartbeatWithin;
   if (result.status == 0 || !in_time || self->unreachable_inbound) {
     self->heartbeat_failed(lab_.now());
     co_return;
   }
-  const std::string answer = result.status == 200 ? with_planted_fault(machine, result.body) : result.body;
-  if (result.status == 200) record_orders(machine, answer, "by an answer");
+  const std::string answer = result.status == 200 ? with_planted_defect(machine, result.body) : result.body;
+  if (result.status == 200) record_commands(machine, answer, "by an answer");
   self->heartbeat_answered(result.status, answer, lab_.now());
 }
 
-/// A copy of a heartbeat, which comes late and to any controller.
-io::Task<> WorkerFleet::repeat_report(std::string body) {
+/// Sends a copy of a heartbeat late, to any controller.
+io::Task<> WorkerFleet::repeat_heartbeat_late(std::string body) {
   co_await lab_.loop.sleep(lab_.between(2, in_seconds(lab_.settings.worker_lease) * 1.6));
   const int controller = lab_.pick(kControllers);
   HttpCall call{lab_.address(Laboratory::user_port(controller)), "POST", kCheckin, std::move(body),
-                kReportWithin};
+                kHeartbeatWithin};
   co_await perform(lab_.loop, std::move(call));
 }
 
