--- a/tests/size_test.cpp
+++ b/tests/size_test.cpp
@@ -38,7 +38,7 @@
       : settings_(settings()),
         store_(settings_),
         cloud_({{"type", {8000, 0, 64000}, 50, 0.8, 0.5, 0.1, seconds(30), {"east", "west"}}},
-               machines == 0 ? 2000 : 0, [](Cloud::Machine&) {}),
+               machines == 0 ? 2000 : 0, [](SimulatedCloud::Machine&) {}),
         core_(std::make_unique<Controller>(settings_, "life", 1)) {
     pass(3);
     for (int i = 0; i < machines; ++i) machines_.push_back("n-" + std::to_string(1000 + i));
@@ -174,13 +174,13 @@
     if (auto* call = std::get_if<StoreCall>(&action)) {
       ++store_calls_;
       const Response r = store_.handle(wire::request_of(call->request), now_);
-      core_->on_store_response(call->call, wire::store_response(call->request, r.status, r.body));
+      core_->on_store_response(call->call, wire::parse_store_response(call->request, r.status, r.body));
     } else if (auto* cloud_call = std::get_if<CloudCall>(&action)) {
       ++cloud_calls_;
       if (auto* deletion = std::get_if<DeleteMachines>(&cloud_call->request))
         deleted_ += deletion->machines.size();
       const Response r = cloud_.handle(wire::request_of(cloud_call->request), now_);
-      core_->on_cloud_response(cloud_call->call, wire::cloud_response(cloud_call->request, r.status, r.body));
+      core_->on_cloud_response(cloud_call->call, wire::parse_cloud_response(cloud_call->request, r.status, r.body));
     } else if (auto* reply = std::get_if<AnswerHeartbeat>(&action)) {
       if (reply->reply.status == 200) execute(sender_, reply->reply.fencing_token, reply->reply.commands);
     } else if (auto* pushed = std::get_if<WorkerCall>(&action)) {
@@ -192,8 +192,8 @@
   }
 
   Settings settings_;
-  StateService store_;
-  Cloud cloud_;
+  SimulatedKeyValueStore store_;
+  SimulatedCloud cloud_;
   std::unique_ptr<Controller> core_;
   Micros now_{seconds(1)};
   std::vector<std::string> machines_;
