--- a/lab/user_crowd.cpp
+++ b/lab/user_crowd.cpp
@@ -96,7 +96,8 @@
   if (lab_.plan.planted_defect == PlantedDefect::misplace) sent.zone.reset();
   while (lab_.now() - since < kGiveUpAfter && !lab_.closing) {
     const Micros asked_at = lab_.now();
-    Request request{user.spec.id, "POST", kJobsPath, wire::body_of(sent), lab_.any_controller(), kSubmitWithin};
+    Request request{user.spec.id,          "POST",       kJobsPath, wire::body_of(sent),
+                    lab_.any_controller(), kSubmitWithin};
     const Answer answer = co_await send(std::move(request));
     if (answer.status == 200 || answer.status == 201) {
       user.accepted = true;
--- a/lab/worker_fleet.cpp
+++ b/lab/worker_fleet.cpp
@@ -186,7 +186,8 @@
   } else {
     if (late_heartbeats_ && lab_.chance() < kShareOfLateHeartbeats)
       lab_.loop.spawn(repeat_heartbeat_late(body));
-    HttpCall call{lab_.address(Laboratory::user_port(controller)), "POST", kHeartbeatPath, body, kHeartbeatWithin};
+    HttpCall call{lab_.address(Laboratory::user_port(controller)), "POST", kHeartbeatPath, body,
+                  kHeartbeatWithin};
     result = co_await perform(lab_.loop, std::move(call));
   }
   self = worker(machine);
--- a/src/core/controller/overview.cpp
+++ b/src/core/controller/overview.cpp
@@ -40,20 +40,21 @@
   for (const auto& [name, shard] : state.shards)
     for (const auto& [id, machine] : shard.machines) {
       if (rows.size() >= kRowLimit) return rows;
-      rows.push_back(
-          {{"machine", id},
-           {"part", name},
-           {"type", machine.type},
-           {"zone", machine.zone},
-           {"spot", machine.spot},
-           {"up", machine.liveness.status_received},
-           {"silent_s", machine.liveness.status_received ? in_seconds(state.now() - machine.liveness.last_status_at) : 0.0},
-           {"settled", machine.reconciled},
-           {"lease_over", machine.liveness.lease_expired},
-           {"quarantined", machine.lifecycle.quarantined},
-           {"being_deleted", machine.lifecycle.decommissioned},
-           {"tasks", machine.tasks.size()},
-           {"free_cpus", in_units(machine.free().cpu)}});
+      rows.push_back({{"machine", id},
+                      {"part", name},
+                      {"type", machine.type},
+                      {"zone", machine.zone},
+                      {"spot", machine.spot},
+                      {"up", machine.liveness.status_received},
+                      {"silent_s", machine.liveness.status_received
+                                       ? in_seconds(state.now() - machine.liveness.last_status_at)
+                                       : 0.0},
+                      {"settled", machine.reconciled},
+                      {"lease_over", machine.liveness.lease_expired},
+                      {"quarantined", machine.lifecycle.quarantined},
+                      {"being_deleted", machine.lifecycle.decommissioned},
+                      {"tasks", machine.tasks.size()},
+                      {"free_cpus", in_units(machine.free().cpu)}});
     }
   return rows;
 }
--- a/src/core/negotiation/award_reader.cpp
+++ b/src/core/negotiation/award_reader.cpp
@@ -82,7 +82,8 @@
 }
 
 void AwardReader::on_progress_notice(const std::string& name) {
-  if (Shard* shard = state_.ready_shard(name)) shard->progress_read.bring_forward(state_.now() + kReadAfterNotice);
+  if (Shard* shard = state_.ready_shard(name))
+    shard->progress_read.bring_forward(state_.now() + kReadAfterNotice);
 }
 
 // ---- awards --------------------------------------------------------------------------------------
--- a/src/core/ownership/machine_ownership.h
+++ b/src/core/ownership/machine_ownership.h
@@ -112,8 +112,7 @@
   Micros next_reload_{0};
   RewriteSchedule urgent_rewrites_{OwnershipBlock::Rewrite::soon, kUrgentRewriteInterval,
                                    RequestPriority::normal};
-  RewriteSchedule all_rewrites_{OwnershipBlock::Rewrite::eventually, kRewriteInterval,
-                                RequestPriority::low};
+  RewriteSchedule all_rewrites_{OwnershipBlock::Rewrite::eventually, kRewriteInterval, RequestPriority::low};
 };
 
 }  // namespace bendtide
--- a/src/core/provisioning/demand.cpp
+++ b/src/core/provisioning/demand.cpp
@@ -22,7 +22,8 @@
 DemandEstimate::NewestUp DemandEstimate::newest_up(const Shard& shard) {
   NewestUp newest;
   for (const auto& [name, machine] : shard.machines)
-    if (machine.liveness.status_received) newest[machine.type] = std::max(newest[machine.type], machine.rented_at);
+    if (machine.liveness.status_received)
+      newest[machine.type] = std::max(newest[machine.type], machine.rented_at);
   return newest;
 }
 
--- a/src/core/provisioning/scale_in.cpp
+++ b/src/core/provisioning/scale_in.cpp
@@ -21,7 +21,8 @@
   // Returned also while tasks wait that it does not suit: it could block the capacity in the cloud that these
   // need.
   for (auto& [name, machine] : shard.machines) {
-    if (machine.lifecycle.decommissioned || !machine.liveness.status_received || !machine.reconciled) continue;
+    if (machine.lifecycle.decommissioned || !machine.liveness.status_received || !machine.reconciled)
+      continue;
     // Behind a network cut they are idle because nothing reaches them, and are needed once it is over.
     if (machine.liveness.lease_expired || shard.cut_zones.contains(machine.zone)) continue;
     if (!machine.idle()) {
@@ -70,7 +71,8 @@
 void ScaleIn::decommission_silent_machines(Shard& shard) const {
   const Micros lease = state_.context.settings.worker_lease;
   for (auto& [name, machine] : shard.machines) {
-    if (machine.liveness.status_received || machine.lifecycle.decommissioned || fleet_.booting(machine)) continue;
+    if (machine.liveness.status_received || machine.lifecycle.decommissioned || fleet_.booting(machine))
+      continue;
     // Behind a network cut it may have been up before this leadership began, so it gets more time. But
     // machines that never came up look like a cut, too, and nothing is created in their zone for as long as
     // they are kept.
@@ -88,7 +90,8 @@
 void ScaleIn::delete_decommissioned_machines(Shard& shard) {
   Deletion deletion{shard.name, shard.leadership_term, {}};
   for (const auto& [name, machine] : shard.machines)
-    if (machine.lifecycle.decommissioned && !machine.lifecycle.deleting && deletion.machines.size() < kMachinesPerDeletion)
+    if (machine.lifecycle.decommissioned && !machine.lifecycle.deleting &&
+        deletion.machines.size() < kMachinesPerDeletion)
       deletion.machines.push_back(name);
   if (deletion.machines.empty()) return;
   const bool sent =
--- a/src/core/state/shard.h
+++ b/src/core/state/shard.h
@@ -50,9 +50,9 @@
   std::map<std::string, Machine> machines;
   std::uint64_t starts = 0;  ///< numbers the attempts under this holding
 
-  std::vector<QueueEntry> queue;            ///< as of the last pass
-  Micros next_pass{0};                      ///< steady clock; the next scheduling pass, zero if something has changed
-  Micros next_watch{0};                     ///< when to look for failed machines again
+  std::vector<QueueEntry> queue;  ///< as of the last pass
+  Micros next_pass{0};            ///< steady clock; the next scheduling pass, zero if something has changed
+  Micros next_watch{0};           ///< when to look for failed machines again
   std::map<std::string, Micros> cut_zones;  ///< zones that can't be reached, and since when
   Micros cut_over{0};                       ///< when one of them was last reached again
   bool has_unreconciled_jobs = false;       ///< jobs were loaded, and not all machines are reconciled yet
--- a/tests/sim/simulated_key_value_store.cpp
+++ b/tests/sim/simulated_key_value_store.cpp
@@ -57,7 +57,8 @@
     return {429, "{}"};
   }
   if (request.method == "GET")
-    return request.target.starts_with(std::string(kKeysPath) + "?") ? list(request.target) : read(request.target);
+    return request.target.starts_with(std::string(kKeysPath) + "?") ? list(request.target)
+                                                                    : read(request.target);
   if (request.target == kTransactionPath) return transaction(json::parse(request.body), now);
   if (request.target == kLeasesPath) return grant_lease(json::parse(request.body), now);
   if (request.target.ends_with(kRenewSuffix)) return renew_lease(request.target, now);
@@ -77,7 +78,8 @@
       more = true;
       break;
     }
-    rows.push_back({{kKey, entry->first}, {kValue, entry->second.value}, {kRevision, entry->second.revision}});
+    rows.push_back(
+        {{kKey, entry->first}, {kValue, entry->second.value}, {kRevision, entry->second.revision}});
   }
   return {200, json{{kEntries, rows}, {kMore, more}, {kStoreRevision, revision_}}.dump()};
 }
--- a/tests/sim/simulated_worker.cpp
+++ b/tests/sim/simulated_worker.cpp
@@ -190,7 +190,8 @@
     is_here |= key.first == task;
   }
   if (is_here) return {TaskPhase::exited, ExitCause::busy, now};
-  if (!(used + job->each).fits_in(type_.size)) return {TaskPhase::exited, ExitCause::insufficient_resources, now};
+  if (!(used + job->each).fits_in(type_.size))
+    return {TaskPhase::exited, ExitCause::insufficient_resources, now};
   const bool cached = images_.contains(job->image);
   const Micros fetch_time = cached ? Micros{0} : seconds(job->image_gb / type_.fetch_gb_per_s);
   return {TaskPhase::fetching, ExitCause::none, now + fetch_time};
--- a/tests/size_test.cpp
+++ b/tests/size_test.cpp
@@ -180,7 +180,8 @@
       if (auto* deletion = std::get_if<DeleteMachines>(&cloud_call->request))
         deleted_ += deletion->machines.size();
       const Response r = cloud_.handle(wire::request_of(cloud_call->request), now_);
-      core_->on_cloud_response(cloud_call->call, wire::parse_cloud_response(cloud_call->request, r.status, r.body));
+      core_->on_cloud_response(cloud_call->call,
+                               wire::parse_cloud_response(cloud_call->request, r.status, r.body));
     } else if (auto* reply = std::get_if<AnswerHeartbeat>(&action)) {
       if (reply->reply.status == 200) execute(sender_, reply->reply.fencing_token, reply->reply.commands);
     } else if (auto* pushed = std::get_if<WorkerCall>(&action)) {
