--- a/lab/user_crowd.cpp
+++ b/lab/user_crowd.cpp
@@ -3,6 +3,7 @@
 #include <nlohmann/json.hpp>
 
 #include "wire/names.h"
+#include "wire/user_protocol.h"
 
 namespace bendtide::lab {
 
--- a/src/core/controller/shard_loader.cpp
+++ b/src/core/controller/shard_loader.cpp
@@ -52,7 +52,7 @@
   fleet_.ownership().load(*shard, reads.owned_machines);
   load_jobs(*shard, reads);
   net_.load_awards(*shard, reads.awards, reads.requested_at);
-  net_.load_progress(*shard, reads.done_tasks, true);
+  ContractNet::load_progress(*shard, reads.done_tasks);
   fleet_.restore_unreachable_machines(*shard);
   shard->award_freshness.confirm(shard->acquired_at, state_.context.settings.lease_term());
   read_quota_allocation(load);
@@ -82,9 +82,7 @@
   Shard* shard = shard_of(load);
   if (shard == nullptr) return;
   if (response.outcome == StoreResponse::Outcome::absent) return create_quota_allocation(load, *shard);
-  const auto allocation = response.ok() && !response.entries.empty()
-                              ? records::quota_allocation(response.entries.front().value)
-                              : std::nullopt;
+  const auto allocation = records::read_first(response, records::quota_allocation);
   if (!allocation) return retry(load, &ShardLoader::read_quota_allocation);
   shard->quota.load(allocation->quota_shares, response.entries.front().revision);
   become_ready(*shard);
--- a/src/core/leases/shard_leases.cpp
+++ b/src/core/leases/shard_leases.cpp
@@ -11,6 +11,12 @@
 constexpr Micros kListingAfterFailure = millis(200);
 constexpr Micros kAcquisitionStagger = millis(700);  ///< between the hosts that may acquire a shard
 
+/// The record that an entry holds; none without an entry, or if it can't be read.
+std::optional<records::LeaseRecord> lease_record_in(const KeyValue* entry) {
+  if (entry == nullptr) return std::nullopt;
+  return records::lease_record(entry->value);
+}
+
 }  // namespace
 
 ShardLeases::ShardLeases(ControllerState& state, Fleet& fleet, Acquired on_acquired, Lost on_lost)
@@ -85,7 +91,7 @@
 }
 
 void ShardLeases::update_route(ShardRoute& route, const KeyValue* entry) {
-  const auto record = entry == nullptr ? std::nullopt : records::lease_record(entry->value);
+  const std::optional<records::LeaseRecord> record = lease_record_in(entry);
   if (record) {
     route = {record->host, record->incarnation, entry->revision, Micros{0}, true};
     return;
@@ -101,7 +107,7 @@
   if (held == state_.shards.end() || acquisition_.in_flight(name)) return;
   Shard& shard = held->second;
   if (shard.token_advance.in_flight()) return;
-  const auto record = entry == nullptr ? std::nullopt : records::lease_record(entry->value);
+  const std::optional<records::LeaseRecord> record = lease_record_in(entry);
   if (!record || !is_written_by_this_process(state_, *record))
     return lose_shard(name, "its lease record is not ours");
   // A late write of ours may have been carried out: a record of this process is ours, whatever its revision.
--- a/src/wire/worker_protocol.cpp
+++ b/src/wire/worker_protocol.cpp
@@ -17,7 +17,7 @@
                                           {"flushing", TaskPhase::saving},
                                           {"ended", TaskPhase::exited}};
 const EnumNames<ExitCause> kCauses = {{"done", ExitCause::done},    {"halted", ExitCause::stopped},
-                                      {"error", ExitCause::failed}, {"full", ExitCause::no_room},
+                                      {"error", ExitCause::failed}, {"full", ExitCause::insufficient_resources},
                                       {"in_use", ExitCause::busy},  {"unknown", ExitCause::unknown}};
 const EnumNames<Command::Kind> kVerbs = {
     {"run", Command::Kind::start}, {"kill", Command::Kind::stop}, {"clear", Command::Kind::forget}};
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -24,7 +24,7 @@
   Machine& add_machine(const std::string& name, bool spot = false) {
     Machine& m = fleet.add(shard, machine_from({name, "small", "z", spot, name + ":1", context.wall}), true);
     m.size = {8000, 0, 64000};
-    m.status_received = true;
+    m.liveness.status_received = true;
     return m;
   }
   Machine& add_booting(const std::string& name, Micros age) {
@@ -134,7 +134,8 @@
   test.creations();
   EXPECT_TRUE(machine.tasks.begin()->second.wanted) << "other work may still need it";
   test.context.now += seconds(30);
-  machine.last_status_at = machine.last_heartbeat_at = test.context.now;
+  machine.liveness.last_status_at = test.context.now;
+  machine.liveness.last_heartbeat_at = test.context.now;
   test.creations();
   EXPECT_FALSE(machine.tasks.begin()->second.wanted);
 }
@@ -166,7 +167,7 @@
                                          {"given up", false, 120, 1}}) {
     ScalingShard test;
     test.add_booting("n-1", seconds(c.overdue_by_s));
-    if (c.other_came_up) test.add_machine("n-2").quarantined = true;  // it takes nothing itself
+    if (c.other_came_up) test.add_machine("n-2").lifecycle.quarantined = true;  // it takes nothing itself
     test.add("run-1", "t", Shape::array, Priority::normal, 2);
     test.pass();
     EXPECT_EQ(test.creations().size(), c.creations) << c.what;
--- a/tests/recorded_wire_cases.cpp
+++ b/tests/recorded_wire_cases.cpp
@@ -363,7 +363,7 @@
 std::vector<Written> administration_bodies() {
   sim::HeldShard held;
   held.add_job();
-  held.shard.quota_shares["t"] = {8000, 0};
+  held.shard.quota.load({{"t", {8000, 0}}}, 1);
   held.state.routes["b"] = {};
   Scheduler scheduler(held.state, held.fleet);
   const ContractNet net(held.state, scheduler, {[] {}});
--- a/tests/sim/heartbeat_exchange.cpp
+++ b/tests/sim/heartbeat_exchange.cpp
@@ -1,5 +1,7 @@
 #include "sim/heartbeat_exchange.h"
 
+#include "wire/worker_protocol.h"
+
 namespace bendtide::sim {
 
 namespace {
--- a/tests/sim/planted_defects.cpp
+++ b/tests/sim/planted_defects.cpp
@@ -1,6 +1,7 @@
 #include "sim/planted_defects.h"
 
 #include "sim/simulated_worker.h"
+#include "wire/worker_protocol.h"
 
 namespace bendtide::sim {
 
--- a/tests/sim/simulated_controllers.cpp
+++ b/tests/sim/simulated_controllers.cpp
@@ -2,6 +2,8 @@
 
 #include <cstdio>
 
+#include "wire/worker_protocol.h"
+
 namespace bendtide::sim {
 
 namespace {
--- a/tests/sim/simulated_controllers_actions.cpp
+++ b/tests/sim/simulated_controllers_actions.cpp
@@ -4,6 +4,9 @@
 
 #include "codec/codec.h"
 #include "sim/simulated_controllers.h"
+#include "wire/cloud_protocol.h"
+#include "wire/store_protocol.h"
+#include "wire/worker_protocol.h"
 
 namespace bendtide::sim {
 
--- a/tests/sim/simulated_worker.cpp
+++ b/tests/sim/simulated_worker.cpp
@@ -3,6 +3,7 @@
 #include <nlohmann/json.hpp>
 
 #include "wire/names.h"
+#include "wire/worker_protocol.h"
 
 namespace bendtide::sim {
 
--- a/tests/sim/simulated_worker.h
+++ b/tests/sim/simulated_worker.h
@@ -8,6 +8,7 @@
 #include <optional>
 #include <set>
 
+#include "core/model/worker_messages.h"
 #include "sim/checker.h"
 #include "sim/simulated_cloud.h"
 
