--- a/src/core/jobs/finished_task_recorder.cpp
+++ b/src/core/jobs/finished_task_recorder.cpp
@@ -42,6 +42,7 @@
     if (!slot.dirty || batch.slots.size() >= state_.context.settings.store_transaction_writes) continue;
     if (slot.outcome_unknown) return read_slot(shard, number);
     const SlotContent content = content_of(shard, slot);
+    // FIXME: the chunks of a slot that does not fit below are marked as recorded too, one batch early.
     batch.chunks.insert(batch.chunks.end(), content.chunks.begin(), content.chunks.end());
     if (content.value.empty()) {
       // All its jobs have ended: the record need not be written, and the slot is used again.
--- a/src/core/jobs/job_directory.cpp
+++ b/src/core/jobs/job_directory.cpp
@@ -11,7 +11,7 @@
     const auto found = shard.jobs.find(job_id);
     if (found == shard.jobs.end() || !found->second.owner.empty()) continue;
     const Job& job = found->second;
-    // While the write of its final state is in flight, only the key-value store can tell.
+    // While the write of its final state is in flight, only the key-value store knows its status.
     if (job.finalizing || job.ended) return std::nullopt;
     JobStatus status;
     status.done = job.done;
--- a/src/core/jobs/job_directory.h
+++ b/src/core/jobs/job_directory.h
@@ -16,14 +16,14 @@
   explicit JobDirectory(ControllerState& state) : state_(state) {}
 
   /// The status of a job with a remembered final state, or of an unfinished job of a shard that is led here
-  /// under a valid lease. None if only the key-value store or a peer can tell.
+  /// under a valid lease. None if only the key-value store or a peer knows it.
   std::optional<JobStatus> known_status(const std::string& job) const;
 
   /// An unfinished job that belongs to a ready shard led here; null without a valid lease.
   Shard* shard_with_own_job(const std::string& job);
 
   /// The reply itself, unless the job is known to be final and the reply is older than that. Every reply
-  /// passes through here on its way out, so that nobody is told less than what is known to be final.
+  /// passes through here on its way out, so that no reply is older than a final state that is known here.
   UserReply newest(const UserReply& reply) const;
 
   /// Remembers the shard of an unfinished job, as just read from its record.
--- a/src/core/jobs/jobs.h
+++ b/src/core/jobs/jobs.h
@@ -39,7 +39,7 @@
 
   /// A request that a peer forwards for its user.
   void on_query(const std::string& from_host, const JobQuery& query);
-  /// A peer's reply to a query of ours.
+  /// A peer's reply to a forwarded request.
   void on_reply(const JobReply& reply);
 
   /// Adds a job to a shard that is being loaded.
--- a/src/core/model/policy.h
+++ b/src/core/model/policy.h
@@ -24,7 +24,7 @@
   double call_again_s = 2;       ///< pause between two calls for proposals for one job
   double close_bids = 0.10;      ///< proposals whose scores are within this share of each other are close
   int call_rounds = 3;           ///< rounds of one negotiation at most
-  bool spot_machines = true;     ///< whether spot machines may be rented
+  bool spot_machines = true;     ///< whether spot machines may be provisioned
 
   static Value to_json(const Policy& policy);
   /// Changes the fields given; if any of them is wrong, changes nothing and returns the first error.
--- a/src/core/model/user_messages.h
+++ b/src/core/model/user_messages.h
@@ -15,7 +15,7 @@
   JobPhase phase = JobPhase::pending;
   std::uint64_t done = 0;     ///< tasks
   std::uint64_t running = 0;  ///< tasks
-  int retry_after_s = 0;      ///< 0: not told
+  int retry_after_s = 0;      ///< 0: no Retry-After
   std::string error;          ///< why the request failed; empty if it did not
 };
 
--- a/src/core/state/final_states.h
+++ b/src/core/state/final_states.h
@@ -1,4 +1,5 @@
-// What this controller knows of the ends of jobs.
+// The final states of jobs, as far as this controller remembers them. A job that has ended never begins
+// again, whatever an earlier response shows of it: ControllerState::validity() decides by this memory.
 #pragma once
 
 #include <deque>
--- a/src/core/state/job.h
+++ b/src/core/state/job.h
@@ -15,28 +15,30 @@
 struct Task {
   enum class State : std::uint8_t {
     waiting,   ///< to be started
-    placed,    ///< on `machine`, or possibly
+    placed,    ///< on `machine`, as far as its leader knows
     done,      ///< finished, and recorded or about to be
-    elsewhere  ///< awarded to another shard, or never ours
+    elsewhere  ///< awarded to another shard, or not among those awarded to this one
   };
   State state = State::waiting;
   Machine* machine = nullptr;
-  std::uint64_t attempt = 0;  ///< the one that counts
+  std::uint64_t attempt = 0;  ///< number of its present attempt; others are to be stopped
 };
 
+/// A job with all of its tasks; or, of another shard's job, those tasks that were awarded to this shard.
 struct Job {
   JobSpec spec;
-  Micros accepted{0};         ///< wall clock
-  std::string owner;          ///< the shard whose job it is, here by awards; empty: ours
-  bool unreconciled = false;  ///< loaded at a take-over: its tasks may be on machines not yet seen
-  bool finalizing = false;    ///< its last write is under way
-  bool ended = false;         ///< over: nothing of it may start, and all of it has to go
+  Micros accepted{0};  ///< wall clock
+  std::string owner;   ///< the shard whose job it is, if tasks were awarded here; empty: this shard
+  bool unreconciled =
+      false;                ///< loaded by a new leader: its tasks may be on machines that are not reconciled
+  bool finalizing = false;  ///< the write of its final state is in flight
+  bool ended = false;       ///< no task of it may start, and all attempts are to be stopped
   std::vector<Task> tasks;
   std::vector<std::uint32_t> waiting;  ///< exactly the tasks in state waiting
   std::uint32_t done = 0;
   std::vector<bool> recorded;             ///< tasks whose end the key-value store holds
   std::vector<std::uint32_t> unrecorded;  ///< done, but not in the key-value store yet
-  std::uint32_t present = 0;              ///< placements of it that take room, of any attempt
+  std::uint32_t present = 0;              ///< placements of it, of any attempt, that take resources
   std::set<std::string> failed_on;        ///< machines on which a task of it failed
   bool succeeded = false;                 ///< whether any task of it is done
   Micros retry_at{0};                     ///< steady clock; nothing of it is started before
