--- a/src/core/model/records.cpp
+++ b/src/core/model/records.cpp
@@ -19,6 +19,18 @@
 Value quota_json(const Quota& quota) { return Value::array({quota.cpu, quota.gpu}); }
 Quota quota(const Value& value) { return {element<std::int64_t>(value, 0), element<std::int64_t>(value, 1)}; }
 
+std::map<std::string, Quota> quota_shares(const Value& value) {
+  std::map<std::string, Quota> shares;
+  for (const auto& [team, share] : value.items())
+    shares[team] = within(team.c_str(), [&value = share] { return quota(value); });
+  return shares;
+}
+
+using TaskRange = std::pair<std::uint32_t, std::uint32_t>;  ///< first task, number of tasks
+TaskRange task_range(const Value& value) {
+  return {element<std::uint32_t>(value, 0), element<std::uint32_t>(value, 1)};
+}
+
 Value resources_json(const Resources& resources) {
   return Value::array({resources.cpu, resources.gpu, resources.memory});
 }
@@ -158,14 +170,8 @@
   return {{"shares", shares}};
 }
 ReadResult<QuotaAllocation> quota_allocation(const Value& value) {
-  return read<QuotaAllocation>(value, [](const Value& in) {
-    return read_field(in, "shares", [](const Value& shares) {
-      QuotaAllocation allocation;
-      for (const auto& [team, share] : shares.items())
-        allocation.quota_shares[team] = within(team.c_str(), [&value = share] { return quota(value); });
-      return allocation;
-    });
-  });
+  return read<QuotaAllocation>(
+      value, [](const Value& in) { return QuotaAllocation{read_field(in, "shares", quota_shares)}; });
 }
 
 Value to_json(const FinalJob& job) { return {{"phase", static_cast<int>(job.phase)}, {"tasks", job.tasks}}; }
@@ -191,15 +197,11 @@
   return {{"owner", award.owner}, {"ranges", ranges}, {"job", to_json(award.job)}};
 }
 ReadResult<Award> award(const Value& value) {
-  using Range = std::pair<std::uint32_t, std::uint32_t>;
   return read<Award>(value, [](const Value& in) {
     Award award;
     award.owner = field<std::string>(in, "owner");
-    award.ranges = read_field(in, "ranges", [](const Value& ranges) {
-      return read_elements<Range>(ranges, [](const Value& range) {
-        return Range{element<std::uint32_t>(range, 0), element<std::uint32_t>(range, 1)};
-      });
-    });
+    award.ranges = read_field(
+        in, "ranges", [](const Value& ranges) { return read_elements<TaskRange>(ranges, task_range); });
     award.job = read_field(in, "job", [&](const Value& job) {
       return LiveJob{award.owner, read_field(job, "spec", job_spec), read_field(job, "accepted", micros)};
     });
