--- a/lab/user_crowd.cpp
+++ b/lab/user_crowd.cpp
@@ -17,6 +17,7 @@
 constexpr Micros kPollEvery = seconds(2);
 constexpr Micros kPollFinalEvery = seconds(5);
 constexpr Micros kRetryAfter = seconds(1);
+constexpr Micros kCheckRunningEvery = millis(20);
 constexpr Micros kGiveUpAfter = seconds(60);
 constexpr double kShareImpatient = 0.5;
 constexpr double kShareCancelled = 0.5;    ///< of the jobs of impatient users
@@ -83,6 +84,7 @@
   const bool accepted = co_await submit(user);
   if (!accepted) co_return;
   if (lab_.chance() < kShareImpatient) lab_.loop.spawn(act_at_acceptance(user));
+  if (cancels_once_running()) lab_.loop.spawn(cancel_once_running(user));
   while (!lab_.closing) {
     const int controller = lab_.any_controller();
     co_await poll_at(user, controller);
@@ -116,10 +118,21 @@
   poll_everywhere(user);
   lab_.loop.spawn(submit_again(user));
   const Micros delay = lab_.between(0, kActWithinSeconds);
-  // A defect that shows only in cancelled jobs needs some that would run on for long.
-  const bool cancels =
-      lab_.plan.planted_defect == PlantedDefect::keep_cancelled || lab_.chance() < kShareCancelled;
-  if (cancels) co_await cancel(user, delay);
+  if (!cancels_once_running() && lab_.chance() < kShareCancelled) co_await cancel(user, delay);
+}
+
+/// The loss of stop commands shows only in jobs that are cancelled while they run.
+bool UserCrowd::cancels_once_running() const {
+  return lab_.plan.planted_defect == PlantedDefect::keep_cancelled;
+}
+
+io::Task<> UserCrowd::cancel_once_running(User& user) {
+  while (!lab_.closing && !lab_.checker.is_running(user.spec.id)) {
+    if (user.answered_final) co_return;
+    co_await lab_.loop.sleep(kCheckRunningEvery);
+  }
+  const Micros delay = lab_.between(0, kActWithinSeconds);
+  co_await cancel(user, delay);
 }
 
 io::Task<> UserCrowd::submit_again(User& user) {
--- a/lab/user_crowd.h
+++ b/lab/user_crowd.h
@@ -11,6 +11,8 @@
 
 namespace bendtide::lab {
 
+/// A new user arrives at random times until the faults end; each submits one job and polls until the
+/// laboratory closes.
 class UserCrowd {
  public:
   explicit UserCrowd(Laboratory& lab) : lab_(lab) {}
@@ -43,6 +45,8 @@
   io::Task<> live(User& user);
   io::Task<bool> submit(User& user);
   io::Task<> act_at_acceptance(User& user);
+  bool cancels_once_running() const;
+  io::Task<> cancel_once_running(User& user);
   io::Task<> submit_again(User& user);
   io::Task<> cancel(User& user, Micros delay);
   io::Task<> poll_at(User& user, int controller);
