--- a/lab/http_server.h
+++ b/lab/http_server.h
@@ -14,6 +14,7 @@
   std::string body = "{}";
 };
 
+/// Serves every connection for as long as the client keeps it open.
 class HttpServer {
  public:
   using Handler = std::function<io::Task<HttpReply>(http::Message)>;
--- a/lab/laboratory.h
+++ b/lab/laboratory.h
@@ -27,6 +27,8 @@
   misplace          ///< submissions leave out the zone that the job is bound to
 };
 
+/// What a soak is made of. Two soaks with the same plan draw from the same seed, but run in real time: their
+/// events differ.
 struct Plan {
   std::uint64_t seed = 1;
   Micros faults_for = seconds(60);  ///< the time in which faults are injected and jobs are submitted
@@ -43,6 +45,7 @@
 
 constexpr int kControllers = 3;
 
+/// Outlives all components. Single-threaded: everything runs on its loop.
 struct Laboratory {
   explicit Laboratory(const Plan& its_plan);
 
--- a/lab/link_proxy.h
+++ b/lab/link_proxy.h
@@ -15,6 +15,8 @@
   std::function<Micros()> latency;  ///< drawn for each piece; none: no delay
 };
 
+/// Forwards every connection to its target, byte by byte and in order. The faults may be changed at any time
+/// and hold for connections that are open, too.
 class LinkProxy {
  public:
   LinkProxy(io::Loop& loop, const std::string& listen_at, std::string target);
--- a/lab/soak.h
+++ b/lab/soak.h
@@ -22,6 +22,7 @@
   std::string summary;  ///< what was done, in one line
 };
 
+/// One run: builds everything in its constructor, and judges it at its end.
 class Soak {
  public:
   explicit Soak(const Plan& plan);
--- a/lab/store_server.h
+++ b/lab/store_server.h
@@ -10,6 +10,7 @@
 
 namespace bendtide::lab {
 
+/// Controllers are numbered from 0 to kControllers - 1.
 class StoreServer {
  public:
   explicit StoreServer(Laboratory& lab);
--- a/lab/worker_fleet.h
+++ b/lab/worker_fleet.h
@@ -11,6 +11,7 @@
 
 namespace bendtide::lab {
 
+/// Owns the machines. Those that were killed or deleted keep their servers, which answer 503.
 class WorkerFleet {
  public:
   explicit WorkerFleet(Laboratory& lab);
