--- a/tests/scheduled_faults_test.cpp
+++ b/tests/scheduled_faults_test.cpp
@@ -277,28 +277,37 @@
   return all;
 }
 
-class ScheduledFaults : public testing::TestWithParam<std::tuple<std::size_t, std::uint64_t>> {};
-
-TEST_P(ScheduledFaults, KeepEveryRuleAndFinishTheWork) {
-  const NamedScenario& named = all_scenarios()[std::get<0>(GetParam())];
+FaultScenario scenario_of(const NamedScenario& named, std::uint64_t seed) {
   FaultScenario scenario;
-  scenario.seed = 3000 + std::get<1>(GetParam());
+  scenario.seed = 3000 + seed;
   scenario.faults = named.faults;
   scenario.invalid_requests = true;
   scenario.jobs = 30;
   scenario.end = seconds(420);
   scenario.verbose = std::getenv("SIMULATION_VERBOSE") != nullptr;
   if (named.prepare != nullptr) named.prepare(scenario);
-  SimulatedCluster cluster(scenario);
+  return scenario;
+}
+
+void expect_situation_arose(const SimulatedCluster& cluster, const NamedScenario& named) {
+  EXPECT_EQ(cluster.seen(Evidence::scheduled_fault_injected), named.faults.size());
+  for (const Evidence evidence : named.counterevidence) EXPECT_EQ(cluster.seen(evidence), 0u) << evidence;
+  for (const Evidence evidence : named.evidence) EXPECT_GT(cluster.seen(evidence), 0u) << evidence;
+}
+
+class ScheduledFaults : public testing::TestWithParam<std::tuple<std::size_t, std::uint64_t>> {};
+
+TEST_P(ScheduledFaults, KeepEveryRuleAndFinishTheWork) {
+  const auto& [index, seed] = GetParam();
+  const NamedScenario& named = all_scenarios()[index];
+  SimulatedCluster cluster(scenario_of(named, seed));
   cluster.run();
   EXPECT_EQ(cluster.checker().summary(), "");
   EXPECT_EQ(cluster.unfinished(), std::vector<std::string>{});
   EXPECT_EQ(cluster.inconsistent_sums(), 0u);
   EXPECT_EQ(cluster.seen(Evidence::error_logged), 0u);
   EXPECT_EQ(cluster.checker().starts_after_cancel(), 0u);
-  EXPECT_EQ(cluster.seen(Evidence::scheduled_fault_injected), named.faults.size());
-  for (const Evidence evidence : named.counterevidence) EXPECT_EQ(cluster.seen(evidence), 0u) << evidence;
-  for (const Evidence evidence : named.evidence) EXPECT_GT(cluster.seen(evidence), 0u) << evidence;
+  expect_situation_arose(cluster, named);
 }
 
 /// SEEDS in the environment chooses other than 5 seeds.
