--- a/src/core/controller/shard_loader.h
+++ b/src/core/controller/shard_loader.h
@@ -22,7 +22,7 @@
   /// The shard to load, in the term in which it was acquired.
   struct Load {
     std::string shard;
-    std::uint64_t leadership_term = 0;
+    LeadershipTerm leadership_term = 0;
   };
   /// The records of all shards, as they arrive.
   struct RecordReads {
--- a/src/core/jobs/final_state_writer.h
+++ b/src/core/jobs/final_state_writer.h
@@ -27,7 +27,7 @@
   /// The write of a final state, retried until its outcome is known.
   struct FinalWrite {
     std::string shard;
-    std::uint64_t leadership_term = 0;
+    LeadershipTerm leadership_term = 0;
     std::string job;
     JobPhase phase = JobPhase::done;
     bool outcome_unknown = false;  ///< an earlier try got no answer
--- a/src/core/jobs/submissions.h
+++ b/src/core/jobs/submissions.h
@@ -49,7 +49,7 @@
   /// Submissions that are written in one transaction.
   struct Batch {
     std::string shard;
-    std::uint64_t leadership_term = 0;
+    LeadershipTerm leadership_term = 0;
     Micros asked_at{0};  ///< when the write was requested; steady clock
     std::vector<Submission> submissions;
   };
--- a/src/core/model/ids.h
+++ b/src/core/model/ids.h
@@ -37,6 +37,10 @@
 /// Grows with every change of leader, and whenever the leader writes its lease record anew.
 using FencingToken = StrongId<struct FencingTokenKind>;
 
+/// The span during which a controller process leads a shard without interruption, however often its fencing
+/// token grows. Numbered from 1 in each process, over all shards.
+using LeadershipTerm = StrongId<struct LeadershipTermKind>;
+
 /// A lease granted by the key-value store. 0: none.
 using StoreLeaseId = StrongId<struct StoreLeaseKind>;
 
--- a/src/core/negotiation/initiator.h
+++ b/src/core/negotiation/initiator.h
@@ -30,7 +30,7 @@
   /// A call that is not decided yet.
   struct Negotiation {
     std::string shard;
-    std::uint64_t leadership_term = 0;
+    LeadershipTerm leadership_term = 0;
     CallForProposals call;
     std::set<std::string> asked;                ///< shards
     std::map<std::string, Proposal> proposals;  ///< of this round, by shard
--- a/src/core/negotiation/quota_transfer.h
+++ b/src/core/negotiation/quota_transfer.h
@@ -27,7 +27,7 @@
 /// One move of quota share, from its start until its outcome is known.
 struct QuotaMove {
   std::string from;  ///< the shard led here
-  std::uint64_t leadership_term = 0;
+  LeadershipTerm leadership_term = 0;
   Compare fence;  ///< the lease record of `from` when the move began
   std::string to;
   std::string team;
--- a/src/core/ownership/machine_ownership.h
+++ b/src/core/ownership/machine_ownership.h
@@ -55,7 +55,7 @@
   /// A new block whose write is under way.
   struct NewBlock {
     std::string shard;
-    std::uint64_t leadership_term = 0;
+    LeadershipTerm leadership_term = 0;
     std::uint32_t number = 0;
     std::vector<Machine> machines;
     std::set<std::string> homes;  ///< the home shards whose records are rewritten with it
@@ -68,7 +68,7 @@
       std::vector<std::string> addressable;  ///< machines whose address it names
     };
     std::string shard;
-    std::uint64_t leadership_term = 0;
+    LeadershipTerm leadership_term = 0;
     std::vector<Block> blocks;
   };
   /// When and how blocks of some urgency are written anew.
--- a/src/core/provisioning/orphan_adoption.cpp
+++ b/src/core/provisioning/orphan_adoption.cpp
@@ -29,7 +29,7 @@
          fleet_.ownership().home_shard(machine.name, machine.zone) == shard_name && machine.age >= pause();
 }
 
-void OrphanAdoption::on_listed(const std::string& shard_name, std::uint64_t leadership_term,
+void OrphanAdoption::on_listed(const std::string& shard_name, LeadershipTerm leadership_term,
                                const CloudResponse& response) {
   Shard* shard = state_.shard_in_term(shard_name, leadership_term);
   if (shard == nullptr || !response.ok()) return;
--- a/src/core/provisioning/scale_in.h
+++ b/src/core/provisioning/scale_in.h
@@ -22,7 +22,7 @@
   /// One deletion call.
   struct Deletion {
     std::string shard;
-    std::uint64_t leadership_term = 0;
+    LeadershipTerm leadership_term = 0;
     std::vector<std::string> machines;
   };
 
--- a/src/core/provisioning/scale_out.cpp
+++ b/src/core/provisioning/scale_out.cpp
@@ -61,7 +61,7 @@
   if (sent) creating_.insert(shard.name);
 }
 
-void ScaleOut::on_created(const std::string& shard_name, std::uint64_t leadership_term,
+void ScaleOut::on_created(const std::string& shard_name, LeadershipTerm leadership_term,
                           const Creation& creation, const CloudResponse& response) {
   creating_.erase(shard_name);
   unknown_creations_.erase(creation.idempotency_key);
@@ -88,7 +88,7 @@
   }
 }
 
-void ScaleOut::take_ownership(const std::string& shard_name, std::uint64_t leadership_term,
+void ScaleOut::take_ownership(const std::string& shard_name, LeadershipTerm leadership_term,
                               const Offering& offering, const std::vector<std::string>& machines) {
   Shard* shard = state_.shard_in_term(shard_name, leadership_term);
   if (shard == nullptr) return;  // they are adopted as orphaned machines later
--- a/src/core/provisioning/scale_out.h
+++ b/src/core/provisioning/scale_out.h
@@ -37,10 +37,10 @@
 
   std::map<Offering, MachinesWanted> machines_wanted(Shard& shard) const;
   void create_machines(Shard& shard, const Creation& creation);
-  void on_created(const std::string& shard_name, std::uint64_t leadership_term, const Creation& creation,
+  void on_created(const std::string& shard_name, LeadershipTerm leadership_term, const Creation& creation,
                   const CloudResponse& response);
   /// Requests ownership records for the machines; nothing runs on them before these are written.
-  void take_ownership(const std::string& shard_name, std::uint64_t leadership_term, const Offering& offering,
+  void take_ownership(const std::string& shard_name, LeadershipTerm leadership_term, const Offering& offering,
                       const std::vector<std::string>& machines);
   /// Tells the peers, too.
   void report_exhausted(const Offering& offering);
--- a/src/core/state/controller_state.h
+++ b/src/core/state/controller_state.h
@@ -64,7 +64,7 @@
   }
   /// For callbacks: the shard if we have led it without interruption since the given term began, whether or
   /// not our lease is valid at present; null otherwise.
-  Shard* shard_in_term(const std::string& name, std::uint64_t leadership_term) {
+  Shard* shard_in_term(const std::string& name, LeadershipTerm leadership_term) {
     const auto found = shards.find(name);
     if (found == shards.end() || found->second.leadership_term != leadership_term) return nullptr;
     return &found->second;
--- a/src/core/state/shard.h
+++ b/src/core/state/shard.h
@@ -34,8 +34,8 @@
   std::string name;
   FencingToken fencing_token = 0;
   FencingToken first_fencing_token = 0;  ///< of this term: a status that shows a lower one is from before it
-  std::uint64_t leadership_term = 0;     ///< numbers the terms of this process, over all shards
-  Micros acquired_at{0};                 ///< steady clock
+  LeadershipTerm leadership_term = 0;
+  Micros acquired_at{0};  ///< steady clock
   Stage stage = Stage::loading;
   TokenAdvance token_advance;
 
--- a/src/core/workers/worker_calls.h
+++ b/src/core/workers/worker_calls.h
@@ -12,7 +12,7 @@
   /// Commands that are pushed to a machine, outside the reply to a heartbeat.
   struct Push {
     std::string shard;
-    std::uint64_t leadership_term = 0;
+    LeadershipTerm leadership_term = 0;
     std::string machine;
     FencingToken fencing_token = 0;
     Micros sent_at{0};              ///< steady clock
