--- a/src/core/provisioning/orphan_adoption.h
+++ b/src/core/provisioning/orphan_adoption.h
@@ -22,7 +22,8 @@
   void tick(Shard& shard);
 
  private:
-  void on_listed(const std::string& shard_name, LeadershipTerm leadership_term, const CloudResponse& response);
+  void on_listed(const std::string& shard_name, LeadershipTerm leadership_term,
+                 const CloudResponse& response);
   bool is_orphaned_here(const CloudMachine& machine, const std::string& shard_name) const;
   /// Between two readings of the whole list. A machine younger than that may be about to be recorded.
   Micros pause() const;
--- a/src/wire/worker_protocol.cpp
+++ b/src/wire/worker_protocol.cpp
@@ -16,9 +16,10 @@
                                           {"running", TaskPhase::running},
                                           {"flushing", TaskPhase::saving},
                                           {"ended", TaskPhase::exited}};
-const EnumNames<ExitCause> kCauses = {{"done", ExitCause::done},    {"halted", ExitCause::stopped},
-                                      {"error", ExitCause::failed}, {"full", ExitCause::insufficient_resources},
-                                      {"in_use", ExitCause::busy},  {"unknown", ExitCause::unknown}};
+const EnumNames<ExitCause> kCauses = {
+    {"done", ExitCause::done},    {"halted", ExitCause::stopped},
+    {"error", ExitCause::failed}, {"full", ExitCause::insufficient_resources},
+    {"in_use", ExitCause::busy},  {"unknown", ExitCause::unknown}};
 const EnumNames<Command::Kind> kVerbs = {
     {"run", Command::Kind::start}, {"kill", Command::Kind::stop}, {"clear", Command::Kind::forget}};
 
--- a/tests/recorded_values.h
+++ b/tests/recorded_values.h
@@ -34,8 +34,9 @@
 }
 
 inline Named<ExitCause> exit_causes() {
-  return {{"done", ExitCause::done},       {"stopped", ExitCause::stopped}, {"failed", ExitCause::failed},
-          {"no room", ExitCause::insufficient_resources}, {"busy", ExitCause::busy},       {"unknown", ExitCause::unknown}};
+  return {{"done", ExitCause::done},     {"stopped", ExitCause::stopped},
+          {"failed", ExitCause::failed}, {"no room", ExitCause::insufficient_resources},
+          {"busy", ExitCause::busy},     {"unknown", ExitCause::unknown}};
 }
 
 /// An array with no optional field.
