--- a/src/core/jobs/final_state_writer.cpp
+++ b/src/core/jobs/final_state_writer.cpp
@@ -106,8 +106,7 @@
                                 .job(write.job)
                                 .detail("stored", to_text(record->phase))
                                 .detail("revision", response.entries.front().revision.value())
-                                .detail("to_be_written", to_text(write.phase))
-                                .text());
+                                .detail("to_be_written", to_text(write.phase)));
   conclude(write, record->phase, respond);
 }
 
--- a/src/core/jobs/job_directory.cpp
+++ b/src/core/jobs/job_directory.cpp
@@ -40,8 +40,7 @@
     state_.context.violated(Invariant::answers_agree, LogMessage("reply differs from the final state")
                                                           .job(reply.id)
                                                           .detail("final_state", to_text(final_state->phase))
-                                                          .detail("reply", to_text(reply.phase))
-                                                          .text());
+                                                          .detail("reply", to_text(reply.phase)));
     return replies::unavailable(reply.id);
   }
   if (shows_phase && reply.phase == final_state->phase) return reply;
@@ -67,8 +66,7 @@
                           LogMessage("final state differs from the one remembered")
                               .job(job)
                               .detail("remembered", to_text(remembered.phase))
-                              .detail("found", to_text(final_state.phase))
-                              .text());
+                              .detail("found", to_text(final_state.phase)));
 }
 
 Job& JobDirectory::load(Shard& shard, const records::LiveJob& record) {
--- a/src/core/leases/fencing_token_advance.cpp
+++ b/src/core/leases/fencing_token_advance.cpp
@@ -36,8 +36,7 @@
     state_.context.violated(Invariant::tokens_grow, LogMessage("lease record written")
                                                         .shard(shard.name)
                                                         .token(shard.fencing_token)
-                                                        .detail("revision", to_string(response.revision))
-                                                        .text());
+                                                        .detail("revision", to_string(response.revision)));
   shard.fencing_token = std::max(shard.fencing_token, written_token);
   state_.context.debug(
       [&] { return LogMessage("fencing token advanced").shard(shard.name).token(written_token); });
--- a/src/core/runtime/context.h
+++ b/src/core/runtime/context.h
@@ -5,7 +5,6 @@
 #include <map>
 #include <random>
 #include <string>
-#include <type_traits>
 #include <utility>
 #include <vector>
 
@@ -44,21 +43,16 @@
   void act(Action action) { actions.push_back(std::move(action)); }
   void log(LogLevel level, std::string text) { act(LogLine{level, std::move(text)}); }
   void info(const LogMessage& message) { log(LogLevel::info, message.text()); }
-  void info(std::string text) { log(LogLevel::info, std::move(text)); }
-  /// `make_text` is called only if the line is written, as there is one for every single request or task.
-  template <class MakeText>
-  void debug(MakeText&& make_text) {
-    if (!debugging) return;
-    if constexpr (std::is_convertible_v<decltype(make_text()), std::string>)
-      log(LogLevel::debug, make_text());
-    else
-      log(LogLevel::debug, make_text().text());
+  /// `make_message` is called only if the line is written, as there is one for every single request or task.
+  template <class MakeMessage>
+  void debug(MakeMessage&& make_message) {
+    if (debugging) log(LogLevel::debug, make_message().text());
   }
-  /// Counts and logs a violation. `description`: what is known of the job or shard.
-  void violated(Invariant invariant, const std::string& description) {
+  /// Counts and logs a violation. `message`: what is known of the job or shard.
+  void violated(Invariant invariant, const LogMessage& message) {
     const auto index = static_cast<std::size_t>(invariant);
     ++invariants.violations[index];
-    log(LogLevel::error, std::string("invariant ") + kInvariantNames[index] + " violated: " + description);
+    log(LogLevel::error, std::string("invariant ") + kInvariantNames[index] + " violated: " + message.text());
   }
 };
 
--- a/src/core/state/shard.h
+++ b/src/core/state/shard.h
@@ -48,7 +48,7 @@
 
   std::map<std::string, Job> jobs;
   std::map<std::string, Machine> machines;
-  std::uint64_t starts = 0;  ///< numbers the attempts under this holding
+  std::uint64_t starts = 0;  ///< numbers the attempts of this leadership term
 
   std::vector<QueueEntry> queue;  ///< as of the last pass
   Micros next_pass{0};            ///< steady clock; the next scheduling pass, zero if something has changed
--- a/src/core/workers/command_builder.cpp
+++ b/src/core/workers/command_builder.cpp
@@ -78,8 +78,7 @@
                                                                  .token(shard.fencing_token)
                                                                  .job(id.task.job)
                                                                  .task(id.task.index)
-                                                                 .attempt(id.attempt)
-                                                                 .text());
+                                                                 .attempt(id.attempt));
   shard.end(*job);
   return false;
 }
