--- a/lab/fault_injector.cpp
+++ b/lab/fault_injector.cpp
@@ -103,6 +103,7 @@
 
 std::vector<FaultInjector::Switch> FaultInjector::kill_all() {
   std::vector<Switch> all;
+  all.reserve(kControllers);
   for (int controller = 0; controller < kControllers; ++controller) all.push_back(running_switch(controller));
   return all;
 }
@@ -195,7 +196,7 @@
   std::vector<Switch> switches;
   for (const std::string& name : workers_.up()) {
     if (lab_.chance() > kShareOfMachines) continue;
-    switches.push_back([this, name, flag](bool on) {
+    switches.emplace_back([this, name, flag](bool on) {
       if (sim::SimulatedWorker* worker = workers_.worker(name)) worker->*flag = on;
     });
   }
--- a/src/app/core_driver.cpp
+++ b/src/app/core_driver.cpp
@@ -155,9 +155,10 @@
   const std::uint64_t number = next_request_++;
   Pending& pending = *pending_.emplace(number, std::make_unique<Pending>()).first->second;
   handle([&](Controller& core) { request(core, number); });
-  if (!pending.reply && !co_await loop_.wait(pending.waiter, loop_.now() + within))
-    pending.reply = HttpReply{503, "{}", 1, kJsonType};
-  HttpReply reply = std::move(*pending.reply);
+  bool in_time = pending.reply.has_value();
+  if (!in_time) in_time = co_await loop_.wait(pending.waiter, loop_.now() + within);
+  HttpReply reply{503, "{}", 1, kJsonType};
+  if (in_time && pending.reply) reply = std::move(*pending.reply);
   pending_.erase(number);
   co_return reply;
 }
--- a/src/core/jobs/jobs.cpp
+++ b/src/core/jobs/jobs.cpp
@@ -4,7 +4,7 @@
 
 namespace bendtide {
 
-Jobs::Jobs(ControllerState& state, Hooks hooks)
+Jobs::Jobs(ControllerState& state, const Hooks& hooks)
     : state_(state),
       directory_(state),
       questions_(state),
--- a/src/core/jobs/jobs.h
+++ b/src/core/jobs/jobs.h
@@ -23,7 +23,7 @@
 class Jobs {
  public:
   using Hooks = Submissions::Hooks;
-  Jobs(ControllerState& state, Hooks hooks);
+  Jobs(ControllerState& state, const Hooks& hooks);
   Jobs(const Jobs&) = delete;
   Jobs& operator=(const Jobs&) = delete;
 
--- a/src/core/model/records.cpp
+++ b/src/core/model/records.cpp
@@ -100,14 +100,14 @@
 
 /// A bitmap in hexadecimal digits, the lowest bit of each digit first.
 std::string to_hex(const std::vector<bool>& bits) {
-  static constexpr char kDigits[] = "0123456789abcdef";
+  static constexpr char hex_digits[] = "0123456789abcdef";
   std::string hex;
   hex.reserve(bits.size() / kBitsPerDigit + 1);
   for (std::size_t first = 0; first < bits.size(); first += kBitsPerDigit) {
     unsigned digit = 0;
     for (std::size_t i = first; i < std::min(first + kBitsPerDigit, bits.size()); ++i)
       if (bits[i]) digit |= 1U << (i - first);
-    hex += kDigits[digit];
+    hex += hex_digits[digit];
   }
   return hex;
 }
@@ -217,10 +217,10 @@
   return out;
 }
 std::size_t owned_machine_bytes(const OwnedMachine& machine) {
-  constexpr std::size_t kOverhead = 48;        // quotes, commas, brackets, the flag and the time
-  constexpr std::size_t kLongestAddress = 24;  // it may come later
+  constexpr std::size_t overhead = 48;         // quotes, commas, brackets, the flag and the time
+  constexpr std::size_t longest_address = 24;  // it may come later
   return machine.name.size() + machine.type.size() + machine.zone.size() +
-         std::max(machine.address.size(), kLongestAddress) + kOverhead;
+         std::max(machine.address.size(), longest_address) + overhead;
 }
 ReadResult<std::vector<OwnedMachine>> owned_machines(const Value& value) {
   return read<std::vector<OwnedMachine>>(value, [](const Value& in) {
@@ -268,8 +268,8 @@
   return out;
 }
 std::size_t done_bytes(const std::string& job, std::size_t tasks) {
-  constexpr std::size_t kOverhead = 24;  // quotes, commas, brackets, the chunk's number
-  return job.size() + tasks / kBitsPerDigit + 1 + kOverhead;
+  constexpr std::size_t overhead = 24;  // quotes, commas, brackets, the chunk's number
+  return job.size() + tasks / kBitsPerDigit + 1 + overhead;
 }
 ReadResult<std::vector<DoneBits>> done(const Value& value) {
   return read<std::vector<DoneBits>>(value, [](const Value& in) {
--- a/src/core/negotiation/quota_transfer.cpp
+++ b/src/core/negotiation/quota_transfer.cpp
@@ -63,7 +63,7 @@
     // Tasks of a job that is over must not be awarded, even if this leader has not learned of its end.
     transaction.compares.push_back({records::final_job_key(move.award->job), 0});
     transaction.compares.push_back({move.award->key, 0});
-    transaction.writes.push_back({move.award->key, move.award->record, 0});
+    transaction.writes.push_back({move.award->key, records::to_json(move.award->record), 0});
   }
   state_.store.commit(std::move(transaction),
                       [this, move](const StoreResponse& response) { on_committed(move, response); });
--- a/src/core/negotiation/quota_transfer.h
+++ b/src/core/negotiation/quota_transfer.h
@@ -19,7 +19,7 @@
 struct AwardedTasks {
   std::string job;
   std::string key;  ///< of the award record
-  Value record;
+  records::Award record;
   std::vector<std::uint32_t> tasks;
   Revision proposed_at;  ///< the winner's proposal is valid for this revision of its allocation only
 };
--- a/src/core/workers/fleet.h
+++ b/src/core/workers/fleet.h
@@ -62,7 +62,7 @@
   // ---- heartbeats of own machines (fleet_heartbeats.cpp) -------------------------------------------
 
   void on_own_heartbeat(std::uint64_t request, Shard& shard, const Heartbeat& heartbeat);
-  Machine* accept_heartbeat(Shard& shard, const Heartbeat& heartbeat);
+  Machine* accept_heartbeat(Shard& shard, const Heartbeat& heartbeat) const;
   void judge_unacknowledged_token(Shard& shard, Machine& machine, const Heartbeat& heartbeat);
   std::vector<Command> reply_to_status(Shard& shard, Machine& machine, const Heartbeat& heartbeat,
                                        Micros previous_reply_at);
--- a/src/core/workers/fleet_heartbeats.cpp
+++ b/src/core/workers/fleet_heartbeats.cpp
@@ -24,7 +24,7 @@
 }
 
 /// The machine of a heartbeat that may be replied to; null if it may not.
-Machine* Fleet::accept_heartbeat(Shard& shard, const Heartbeat& heartbeat) {
+Machine* Fleet::accept_heartbeat(Shard& shard, const Heartbeat& heartbeat) const {
   if (heartbeat.fencing_token > shard.fencing_token) {
     // A higher fencing token was given out: either there is another leader, or the machine belonged to
     // another shard.
--- a/src/wire/query.cpp
+++ b/src/wire/query.cpp
@@ -5,17 +5,17 @@
 namespace bendtide::wire {
 
 std::string escape(std::string_view text) {
-  static constexpr char kDigits[] = "0123456789ABCDEF";
-  static constexpr std::string_view kPlain = "-_./~";
+  static constexpr char digits[] = "0123456789ABCDEF";
+  static constexpr std::string_view plain = "-_./~";
   std::string escaped;
   for (const char character : text) {
     const auto byte = static_cast<unsigned char>(character);
-    if (std::isalnum(byte) || kPlain.find(character) != std::string_view::npos) {
+    if (std::isalnum(byte) || plain.find(character) != std::string_view::npos) {
       escaped += character;
     } else {
       escaped += '%';
-      escaped += kDigits[byte >> 4];
-      escaped += kDigits[byte & 15];
+      escaped += digits[byte >> 4];
+      escaped += digits[byte & 15];
     }
   }
   return escaped;
--- a/tests/sim/action_digest.cpp
+++ b/tests/sim/action_digest.cpp
@@ -60,8 +60,8 @@
 }
 
 void ActionDigest::add_field(std::string_view bytes) {
-  constexpr std::uint64_t kPrime = 0x100000001b3;
-  auto add_byte = [this](unsigned char byte) { value_ = (value_ ^ byte) * kPrime; };
+  constexpr std::uint64_t prime = 0x100000001b3;
+  auto add_byte = [this](unsigned char byte) { value_ = (value_ ^ byte) * prime; };
   for (std::size_t rest = bytes.size(); rest > 0; rest >>= 8)
     add_byte(static_cast<unsigned char>(rest & 0xff));
   add_byte(0);
