--- a/src/app/daemon.cpp
+++ b/src/app/daemon.cpp
@@ -146,24 +146,23 @@
 io::Task<> Daemon::serve_peer(io::Socket socket, std::string buffer) {
   for (;;) {
     codec::Decoded frame = codec::decode(buffer);
-    switch (frame.state) {
-      case codec::Decoded::State::malformed:
-        log_->error("{}", LogMessage("peer connection closed").why("its message can't be read").text());
-        co_return;
-      case codec::Decoded::State::incomplete: {
-        const bool more = co_await socket.read(buffer, loop_.now() + kPeerIdleTimeout);
-        if (!more) co_return;
-        break;
-      }
-      case codec::Decoded::State::complete: {
-        buffer.erase(0, frame.consumed);
-        const codec::Envelope& envelope = frame.envelope;
-        if (!driver_.is_peer(envelope.sender)) break;
-        driver_.handle([&](Controller& core) { core.on_peer(envelope.sender, envelope.message); });
-        break;
-      }
+    if (frame.state == codec::Decoded::State::malformed) {
+      log_->error("{}", LogMessage("peer connection closed").why("its message can't be read").text());
+      co_return;
+    }
+    if (frame.state == codec::Decoded::State::incomplete) {
+      const bool more = co_await socket.read(buffer, loop_.now() + kPeerIdleTimeout);
+      if (!more) co_return;
+      continue;
     }
+    buffer.erase(0, frame.consumed);
+    on_peer_message(frame.envelope);
   }
 }
 
+void Daemon::on_peer_message(const codec::Envelope& envelope) {
+  if (!driver_.is_peer(envelope.sender)) return;
+  driver_.handle([&](Controller& core) { core.on_peer(envelope.sender, envelope.message); });
+}
+
 }  // namespace bendtide
--- a/src/app/daemon.h
+++ b/src/app/daemon.h
@@ -9,6 +9,7 @@
 #include "app/core_driver.h"
 #include "app/metrics.h"
 #include "app/user_api.h"
+#include "codec/codec.h"
 
 namespace bendtide {
 
@@ -31,6 +32,8 @@
   io::Task<> serve_internal(io::Socket socket);
   /// `buffer`: what has been read already.
   io::Task<> serve_peer(io::Socket socket, std::string buffer);
+  /// Ignores a message whose sender is none of the peers in the settings.
+  void on_peer_message(const codec::Envelope& envelope);
   io::Task<> serve_http(io::Socket socket, std::string buffer, Audience audience);
   /// Waits for more of a request. False if the connection is over.
   io::Task<bool> read_request(io::Socket& socket, std::string& buffer, Audience audience);
--- a/src/app/peer_link.cpp
+++ b/src/app/peer_link.cpp
@@ -25,12 +25,11 @@
       co_await loop_.wait(more_, loop_.now() + kIdleWait);
       continue;
     }
-    if (!socket.fresh()) {
+    if (!socket.fresh())
       socket = co_await io::Socket::connect(loop_, address_, loop_.now() + kConnectTimeout);
-      if (!socket.open()) {
-        co_await loop_.sleep(kReconnectPause);
-        continue;
-      }
+    if (!socket.open()) {
+      co_await loop_.sleep(kReconnectPause);
+      continue;
     }
     const std::string bytes = take_queue();
     if (!co_await socket.write(bytes, loop_.now() + kLongestDelay)) socket.close();
--- a/src/core/negotiation/initiator.cpp
+++ b/src/core/negotiation/initiator.cpp
@@ -273,8 +273,7 @@
   const std::size_t most_ranges = state_.context.settings.store_value_bytes / 2 / kRangeBytes;
   TaskSelection selection = select_tasks(job, count, most_ranges);
   award.tasks = std::move(selection.tasks);
-  award.record = records::to_json(
-      records::Award{shard.name, std::move(selection.ranges), {shard.name, job.spec, job.accepted}});
+  award.record = {shard.name, std::move(selection.ranges), {shard.name, job.spec, job.accepted}};
   job.tasks_in_award += static_cast<std::uint32_t>(award.tasks.size());
   quota_transfer_.start(shard, best.shard, job.spec.team, lacking, std::move(award));
 }
--- a/tests/recorded_wire_cases.cpp
+++ b/tests/recorded_wire_cases.cpp
@@ -315,29 +315,32 @@
      R"({"helms":[{"uid":"n-1","hull":"small","berth":"east","phase":"melting","ageS":1}]})"},
 };
 
+Understood store_case(const std::string& request_name, const StoreRequest& request, const Answer& answer) {
+  auto read = [request](int status, const std::string& body) {
+    return describe(wire::parse_store_response(request, status, body));
+  };
+  return {"answer of the state service to " + request_name + ": " + answer.name, answer.status, answer.body,
+          read};
+}
+
 void add_state_answers(std::vector<Understood>& out) {
   for (const auto& [name, request] : state_requests()) {
-    auto add = [&out, &of = name, &request = request](const Answer& a) {
-      out.push_back({"answer of the state service to " + of + ": " + a.name, a.status, a.body,
-                     [request](int status, const std::string& body) {
-                       return describe(wire::parse_store_response(request, status, body));
-                     }});
-    };
-    for (const Answer& a : kCommonAnswers) add(a);
-    for (const Answer& a : kStateAnswers) add(a);
+    for (const Answer& answer : kCommonAnswers) out.push_back(store_case(name, request, answer));
+    for (const Answer& answer : kStateAnswers) out.push_back(store_case(name, request, answer));
   }
 }
 
+Understood cloud_case(const std::string& request_name, const CloudRequest& request, const Answer& answer) {
+  auto read = [request](int status, const std::string& body) {
+    return describe(wire::parse_cloud_response(request, status, body));
+  };
+  return {"answer of the cloud to " + request_name + ": " + answer.name, answer.status, answer.body, read};
+}
+
 void add_cloud_answers(std::vector<Understood>& out) {
   for (const auto& [name, request] : cloud_requests()) {
-    auto add = [&out, &of = name, &request = request](const Answer& a) {
-      out.push_back({"answer of the cloud to " + of + ": " + a.name, a.status, a.body,
-                     [request](int status, const std::string& body) {
-                       return describe(wire::parse_cloud_response(request, status, body));
-                     }});
-    };
-    for (const Answer& a : kCommonAnswers) add(a);
-    for (const Answer& a : kCloudAnswers) add(a);
+    for (const Answer& answer : kCommonAnswers) out.push_back(cloud_case(name, request, answer));
+    for (const Answer& answer : kCloudAnswers) out.push_back(cloud_case(name, request, answer));
   }
 }
 
