--- a/src/core/runtime/context.h
+++ b/src/core/runtime/context.h
@@ -40,7 +40,7 @@
       timer.mapped()();
     }
   }
-  void act(Action action) { actions.push_back(std::move(action)); }
+  void act(Action action);
   void log(LogLevel level, std::string text) { act(LogLine{level, std::move(text)}); }
   void info(const LogMessage& message) { log(LogLevel::info, message.text()); }
   /// `make_message` is called only if the line is written, as there is one for every single request or task.
--- a/tests/shard_leases_test.cpp
+++ b/tests/shard_leases_test.cpp
@@ -11,6 +11,34 @@
 
 using Outcome = StoreResponse::Outcome;
 
+StoreResponse granted(std::uint64_t lease) {
+  StoreResponse response;
+  response.outcome = Outcome::ok;
+  response.lease = lease;
+  return response;
+}
+
+/// The key-value store answers that the store lease 7 has ended, and then grants the lease 8.
+void replace_store_lease(JobsFixture& t, ShardLeases& leases) {
+  t.context.now += t.context.settings.lease_term() / 6;
+  t.collect([&] { leases.tick(); });
+  const auto renewal = std::find_if(t.calls.begin(), t.calls.end(), [](const StoreCall& call) {
+    return std::holds_alternative<RenewLease>(call.request);
+  });
+  ASSERT_NE(renewal, t.calls.end());
+  StoreResponse ended;
+  ended.outcome = Outcome::absent;
+  t.answer(static_cast<std::size_t>(renewal - t.calls.begin()), ended);
+  t.collect([&] { leases.tick(); });
+  const auto next = std::find_if(t.calls.rbegin(), t.calls.rend(), [](const StoreCall& call) {
+    return std::holds_alternative<GrantLease>(call.request);
+  });
+  ASSERT_NE(next, t.calls.rend());
+  const std::uint64_t call = next->call;
+  t.collect([&] { t.state.store.on_response(call, granted(8)); });
+  ASSERT_TRUE(t.state.lease_valid());
+}
+
 // A lease record goes with the store lease that it is attached to. An acquisition that was carried out, while
 // only its response was late, once counted under the next store lease: the controller acted for the shard
 // without any lease record.
@@ -20,33 +48,13 @@
     t.context.settings.peers = {{"b", "z", "b:1"}};
     ShardLeases leases(
         t.state, t.fleet, [](Shard&) {}, [](const std::string&) {});
-    StoreResponse lease;
-    lease.outcome = Outcome::ok;
-    lease.lease = 7;
     t.collect([&] { leases.tick(); });
     ASSERT_TRUE(std::holds_alternative<GrantLease>(t.calls.at(0).request));
-    t.answer(0, lease);
+    t.answer(0, granted(7));
     t.collect([&] { leases.on_lease_transfer({"b", 30, false, {}}); });
     const std::size_t acquisition = t.calls.size() - 1;
     ASSERT_TRUE(std::holds_alternative<Transaction>(t.calls.at(acquisition).request));
-    if (lease_ends) {
-      t.context.now += t.context.settings.lease_term() / 6;
-      t.collect([&] { leases.tick(); });
-      const auto renewal = std::find_if(t.calls.begin(), t.calls.end(), [](const StoreCall& call) {
-        return std::holds_alternative<RenewLease>(call.request);
-      });
-      ASSERT_NE(renewal, t.calls.end());
-      StoreResponse ended;
-      ended.outcome = Outcome::absent;
-      t.answer(static_cast<std::size_t>(renewal - t.calls.begin()), ended);
-      t.collect([&] { leases.tick(); });
-      const auto next = std::find_if(t.calls.rbegin(), t.calls.rend(), [](const StoreCall& call) {
-        return std::holds_alternative<GrantLease>(call.request);
-      });
-      lease.lease = 8;
-      t.collect([&] { t.state.store.on_response(next->call, lease); });
-      ASSERT_TRUE(t.state.lease_valid());
-    }
+    if (lease_ends) ASSERT_NO_FATAL_FAILURE(replace_store_lease(t, leases));
     t.answer(acquisition, written(31));
     EXPECT_EQ(t.state.shards.contains("b"), !lease_ends);
   }
