--- a/tests/shard_leases_test.cpp
+++ b/tests/shard_leases_test.cpp
@@ -54,7 +54,9 @@
     t.collect([&] { leases.on_lease_transfer({"b", 30, false, {}}); });
     const std::size_t acquisition = t.calls.size() - 1;
     ASSERT_TRUE(std::holds_alternative<Transaction>(t.calls.at(acquisition).request));
-    if (lease_ends) ASSERT_NO_FATAL_FAILURE(replace_store_lease(t, leases));
+    if (lease_ends) {
+      ASSERT_NO_FATAL_FAILURE(replace_store_lease(t, leases));
+    }
     t.answer(acquisition, written(31));
     EXPECT_EQ(t.state.shards.contains("b"), !lease_ends);
   }
