--- a/src/core/model/time.h
+++ b/src/core/model/time.h
@@ -1,5 +1,6 @@
-// Time inside bendtide: whole microseconds, in one strong type for both spans and instants. An instant is
-// the span since the epoch of its clock (steady or wall); the name of a variable says which clock.
+// Time in whole microseconds. One type represents both durations and points in time. A point in time is the
+// duration since the epoch of its clock; the name or the doc comment of a variable says whether that is the
+// steady or the wall clock.
 #pragma once
 
 #include <chrono>
@@ -13,20 +14,25 @@
 constexpr Micros seconds(double n) { return Micros{static_cast<std::int64_t>(n * 1e6)}; }
 constexpr double in_seconds(Micros m) { return static_cast<double>(m.count()) / 1e6; }
 
-/// How fast the steady clocks of two hosts may drift apart (PROTOCOL: 0.05 %), doubled for safety.
-constexpr double kDrift = 0.001;
+/// Maximum relative drift between the steady clocks of two hosts: twice the bound of the platform (PROTOCOL:
+/// 0.05 %), as a safety margin.
+constexpr double kMaxClockDrift = 0.001;
 
-/// For timers that fire late, here and there.
+/// Margin for timers that fire late on either of two hosts.
 constexpr Micros kTimerMargin = millis(300);
 
-/// A span on another host's clock that has surely passed once this much has passed on ours.
+/// Returns a duration on the local clock after which `span` has certainly elapsed on the clock of another
+/// host.
 constexpr Micros surely_over(Micros span) {
-  return Micros{static_cast<std::int64_t>(static_cast<double>(span.count()) * (1.0 + kDrift))} + kTimerMargin;
+  return Micros{static_cast<std::int64_t>(static_cast<double>(span.count()) * (1.0 + kMaxClockDrift))} +
+         kTimerMargin;
 }
 
-/// How long we may trust a span granted by another host.
+/// Returns a duration on the local clock within which `span` has certainly not yet elapsed on the clock of
+/// another host. A grant from another host may be relied on for this long.
 constexpr Micros surely_within(Micros span) {
-  return Micros{static_cast<std::int64_t>(static_cast<double>(span.count()) * (1.0 - kDrift))} - kTimerMargin;
+  return Micros{static_cast<std::int64_t>(static_cast<double>(span.count()) * (1.0 - kMaxClockDrift))} -
+         kTimerMargin;
 }
 
 }  // namespace bendtide
