--- a/src/core/model/resources.h
+++ b/src/core/model/resources.h
@@ -1,4 +1,4 @@
-// Amounts of resources: what tasks take of a machine, and what counts against the quota of a team.
+// Amounts of resources: those that tasks use on a machine, and those that count against the quota of a team.
 #pragma once
 
 #include <algorithm>
@@ -8,8 +8,8 @@
 
 namespace bendtide {
 
-/// Amounts in whole thousandths, so that sums are exact: of a cpu, of a gpu, and of a GB of memory. They may
-/// be below zero in differences.
+/// Amounts in whole thousandths of a cpu, of a gpu and of a GB of memory, so that sums are exact. The result
+/// of a subtraction may be negative.
 struct Resources {
   std::int64_t cpu = 0;
   std::int64_t gpu = 0;
@@ -34,7 +34,8 @@
   bool fits_in(const Resources& other) const {
     return cpu <= other.cpu && gpu <= other.gpu && memory <= other.memory;
   }
-  /// How many copies of `each` fit into this, at most INT32_MAX. What `each` has none of does not count.
+  /// Returns how many times `each` fits into these resources, at most INT32_MAX. Resources that `each` does
+  /// not need are ignored.
   std::int64_t holds(const Resources& each) const {
     std::int64_t copies = INT32_MAX;
     if (each.cpu > 0) copies = std::min(copies, std::max<std::int64_t>(0, cpu) / each.cpu);
@@ -44,7 +45,8 @@
   }
 };
 
-/// The resources that a team's limit and guarantee are given in, in the same units. Memory is not limited.
+/// An amount of the resources that count against a team's limit and guarantee, in the units of Resources.
+/// Memory does not count.
 struct Quota {
   std::int64_t cpu = 0;
   std::int64_t gpu = 0;
@@ -64,7 +66,7 @@
   friend Quota operator-(Quota a, const Quota& b) { return a -= b; }
   friend Quota operator*(Quota a, std::int64_t n) { return {a.cpu * n, a.gpu * n}; }
   bool fits_in(const Quota& other) const { return cpu <= other.cpu && gpu <= other.gpu; }
-  /// As Resources::holds().
+  /// See Resources::holds().
   std::int64_t holds(const Quota& each) const {
     return Resources{cpu, gpu, 0}.holds(Resources{each.cpu, each.gpu, 0});
   }
@@ -73,19 +75,20 @@
 /// The part of `resources` that counts against a quota.
 inline Quota quota_of(const Resources& resources) { return {resources.cpu, resources.gpu}; }
 
-/// The same amounts, with none below zero.
+/// Returns the same amounts with negative ones replaced by zero.
 inline Quota at_least_zero(const Quota& quota) {
   return {std::max<std::int64_t>(0, quota.cpu), std::max<std::int64_t>(0, quota.gpu)};
 }
 
-/// The limit of a team that has none: above all that can ever be used, and far from an overflow.
+/// The limit of a team without a configured limit: higher than any possible use, and low enough that sums do
+/// not overflow.
 constexpr Quota kNoLimit{1'000'000'000'000'000, 1'000'000'000'000'000};
 
-/// A team as configured for the whole cluster; the names of teams are unique.
+/// A team as configured for the whole cluster. Team names are unique.
 struct Team {
   std::string name;
-  Quota guarantee;  ///< what it gets even if others have to give way
-  Quota limit;      ///< what it may use at most
+  Quota guarantee;  ///< the amount that the team gets even if tasks of other teams must be preempted
+  Quota limit;      ///< the most that the team may use
 };
 
 }  // namespace bendtide
