--- a/src/core/model/job.h
+++ b/src/core/model/job.h
@@ -1,4 +1,4 @@
-// Jobs and tasks as users describe them.
+// Jobs and tasks as users specify them.
 #pragma once
 
 #include <algorithm>
@@ -12,15 +12,15 @@
 namespace bendtide {
 
 enum class Shape : std::uint8_t {
-  array,   ///< tasks that finish, each on its own
-  service  ///< tasks that run, all at once, until the job is cancelled
+  array,   ///< tasks that run independently, each until it finishes
+  service  ///< tasks that all run at the same time until the job is cancelled
 };
 
 enum class Priority : std::uint8_t { low, normal, high, production };
 
 enum class JobPhase : std::uint8_t { pending, running, done, cancelled };
 
-/// For the log; users see the names of the wire protocol (wire/).
+/// Returns the name of a phase in log lines. Users see the names of the wire protocol (wire/).
 inline const char* to_text(JobPhase phase) {
   switch (phase) {
     case JobPhase::pending:
@@ -37,31 +37,31 @@
 
 inline bool is_final(JobPhase phase) { return phase == JobPhase::done || phase == JobPhase::cancelled; }
 
-/// A job as its user has submitted it.
+/// A job as submitted by its user.
 struct JobSpec {
-  std::string id;  ///< chosen by the user: the idempotency key of its submission
+  std::string id;  ///< chosen by the user; the idempotency key of the submission
   std::string job_class;
   std::string team;
   Shape shape = Shape::array;
   Priority priority = Priority::normal;
   std::uint32_t tasks = 0;
-  Resources each;                   ///< of one task
+  Resources each;                   ///< required by one task
   std::vector<std::string> types;   ///< allowed machine types; empty: any
-  std::optional<std::string> zone;  ///< the only allowed zone
-  bool one_zone = false;            ///< all tasks in the same zone
-  bool spread = false;              ///< at most half of its tasks in one zone
-  bool spot = false;                ///< may run on spot machines
+  std::optional<std::string> zone;  ///< the only allowed zone; none: any zone
+  bool one_zone = false;            ///< whether all tasks must run in the same zone
+  bool spread = false;              ///< whether at most half of the tasks may run in one zone
+  bool spot = false;                ///< whether the tasks may run on spot machines
   std::string image;
-  double image_gb = 0;
-  Micros estimate{0};              ///< duration of one task
-  Micros checkpoint{0};            ///< interval between checkpoints; 0: none
-  Micros save{0};                  ///< duration of a checkpoint
-  std::optional<Micros> deadline;  ///< after submission
+  double image_gb = 0;             ///< size of the image
+  Micros estimate{0};              ///< expected duration of one task
+  Micros checkpoint{0};            ///< interval between checkpoints; 0: the tasks save none
+  Micros save{0};                  ///< time that saving a checkpoint takes
+  std::optional<Micros> deadline;  ///< relative to the submission; none: no deadline
 
   bool allows_type(const std::string& type) const {
     return types.empty() || std::find(types.begin(), types.end(), type) != types.end();
   }
-  /// Whether one controller has to place all tasks, as zone rules concern them all at once.
+  /// Whether a single controller must place all tasks, because a zone rule applies to all of them together.
   bool needs_one_decider() const { return one_zone || spread; }
   bool operator==(const JobSpec&) const = default;
 };
@@ -72,7 +72,7 @@
   auto operator<=>(const TaskId&) const = default;
 };
 
-/// For the log: "JOB/INDEX".
+/// Returns the name of a task in log lines: "JOB/INDEX".
 inline std::string to_string(const TaskId& task) { return task.job + "/" + std::to_string(task.index); }
 
 }  // namespace bendtide
