--- a/src/core/model/machine_type.h
+++ b/src/core/model/machine_type.h
@@ -1,4 +1,4 @@
-// Machine types and machines as the cloud describes them.
+// Machine types and machines as the cloud API reports them.
 #pragma once
 
 #include <string>
@@ -9,30 +9,30 @@
 
 namespace bendtide {
 
-/// One entry of the catalogue.
+/// One entry of the catalogue of machine types.
 struct MachineType {
   std::string name;
   Resources size;
-  double cache_gb = 0;             ///< for images
-  double fetch_gb_per_s = 0;       ///< of images, shared by the fetches of one machine
-  double price = 0;                ///< on demand, in the unit of the cloud; only compared
-  double spot_price = 0;           ///< as a spot machine, at present; zero if there are none
-  Micros boot{0};                  ///< usual time from its creation until it is up
-  std::vector<std::string> zones;  ///< in which it is offered
+  double cache_gb = 0;        ///< size of the cache for job images
+  double fetch_gb_per_s = 0;  ///< bandwidth for fetching images, shared by all fetches of one machine
+  double price = 0;  ///< as an on-demand machine, in the cloud's unit; only ever compared with other prices
+  double spot_price = 0;           ///< current price as a spot machine; 0: not offered as one
+  Micros boot{0};                  ///< usual time from the creation of a machine until it is up
+  std::vector<std::string> zones;  ///< the zones that offer the type
   bool operator==(const MachineType&) const = default;
 };
 
 enum class CloudPhase : std::uint8_t { booting, running, failed };
 
-/// A machine in the cloud's list, which may be out of date by Settings::cloud_list_lag.
+/// A machine in the list of the cloud API, which may be out of date by up to Settings::cloud_list_lag.
 struct CloudMachine {
   std::string name;
-  std::string address;  ///< HOST:PORT of its worker; empty while it boots
+  std::string address;  ///< HOST:PORT of the machine's worker; empty while the machine boots
   std::string type;
   std::string zone;
   bool spot = false;
   CloudPhase phase = CloudPhase::booting;
-  Micros age{0};  ///< since its creation
+  Micros age{0};  ///< time since the creation of the machine
 };
 
 }  // namespace bendtide
