--- a/src/core/model/cloud_messages.h
+++ b/src/core/model/cloud_messages.h
@@ -1,4 +1,4 @@
-// Requests to the cloud and its responses.
+// Requests to the cloud API and the responses to them.
 #pragma once
 
 #include <string>
@@ -9,11 +9,11 @@
 
 namespace bendtide {
 
-/// Asks for the catalogue.
+/// Lists the machine types that the cloud offers (the catalogue).
 struct ListMachineTypes {};
 
-/// Asks for up to `count` machines of one type. Repeated with the same key it creates nothing, and its
-/// response names the machines created the first time.
+/// Creates up to `count` machines of one type. A repeated request with the same idempotency key creates
+/// nothing; its response names the machines that the first request created.
 struct CreateMachines {
   std::string idempotency_key;
   std::string type;
@@ -22,31 +22,31 @@
   int count = 0;
 };
 
-/// Deletes machines by name; a success also covers those that don't exist any more.
+/// Deletes machines by name. Machines that no longer exist are not an error.
 struct DeleteMachines {
   std::vector<std::string> machines;
 };
 
-/// Asks for one page of the list of machines, which is ordered by name.
+/// Reads one page of the list of machines, which is ordered by name.
 struct ListMachines {
-  std::string after;  ///< the page begins behind this name; empty: at the beginning
+  std::string after;  ///< the page starts after this name; empty: at the first machine
 };
 
 using CloudRequest = std::variant<ListMachineTypes, CreateMachines, DeleteMachines, ListMachines>;
 
-/// The outcome of a request, with the fields that belong to its kind.
+/// The response to any CloudRequest. Only the fields that belong to the kind of request are set.
 struct CloudResponse {
   enum class Outcome : std::uint8_t {
     ok,
-    no_capacity,  ///< nothing of this offering is to be had at present
-    refused,      ///< surely not executed
-    unknown       ///< no response, or none that shows whether the request was executed
+    no_capacity,  ///< the cloud has no capacity for this offering at present
+    refused,      ///< the request was definitely not executed
+    unknown       ///< no response, or one that does not show whether the request was executed
   };
   Outcome outcome = Outcome::unknown;
-  std::vector<MachineType> types;  ///< of ListMachineTypes
-  std::vector<std::string> names;  ///< of CreateMachines: those created, fewer than asked for if few are left
-  std::vector<CloudMachine> machines;  ///< of ListMachines
-  bool more = false;                   ///< of ListMachines: further pages follow
+  std::vector<MachineType> types;      ///< response to ListMachineTypes
+  std::vector<std::string> names;      ///< response to CreateMachines; may be fewer machines than requested
+  std::vector<CloudMachine> machines;  ///< response to ListMachines
+  bool more = false;                   ///< response to ListMachines: whether further pages follow
   bool ok() const { return outcome == Outcome::ok; }
 };
 
