--- a/src/core/model/user_messages.h
+++ b/src/core/model/user_messages.h
@@ -1,4 +1,4 @@
-// Replies to users, and requests of operators.
+// Replies to users, and requests from operators.
 #pragma once
 
 #include <string>
@@ -11,18 +11,19 @@
 /// The reply to a user's request about a job.
 struct UserReply {
   int status = 503;  ///< HTTP status
-  std::string id;    ///< of the job
+  std::string id;    ///< id of the job
   JobPhase phase = JobPhase::pending;
-  std::uint64_t done = 0;     ///< tasks
-  std::uint64_t running = 0;  ///< tasks
-  int retry_after_s = 0;      ///< 0: no Retry-After
-  std::string error;          ///< why the request failed; empty if it did not
+  std::uint64_t done = 0;     ///< number of finished tasks
+  std::uint64_t running = 0;  ///< number of running tasks
+  int retry_after_s = 0;      ///< value of the Retry-After header in seconds; 0: no such header
+  std::string error;          ///< error message for the user; empty if the request succeeded
 };
 
+/// A request on the administration API.
 struct AdminRequest {
   enum class What : std::uint8_t { policy, change_policy, shards, machines, jobs, negotiations };
   What what = What::policy;
-  Value body;  ///< of a change
+  Value body;  ///< the fields to change, for change_policy only
 };
 
 }  // namespace bendtide
