--- a/src/core/model/peer_messages.h
+++ b/src/core/model/peer_messages.h
@@ -1,9 +1,10 @@
-// Messages between controllers; codec/ encodes them.
+// Messages between controllers. codec/ encodes them.
 //
-// They are sent without acknowledgement, and may be lost or late. So no message
-// but JobEndNotice and LeaseTransfer changes what a shard holds: it answers a user, starts a negotiation
-// whose outcome is a conditional write, or makes the receiver read the key-value store sooner. Spans of time
-// are relative to when the message was sent, as hosts share no steady clock.
+// Messages are not acknowledged and may be lost or delayed. Therefore only JobEndNotice and LeaseTransfer
+// change the state of a shard directly. Every other message leads to a reply to a user, to a negotiation
+// whose outcome is a conditional write, or to an earlier read of the key-value store by the receiver.
+// Durations are relative to the time at which the message was sent, because hosts do not share a steady
+// clock.
 #pragma once
 
 #include <variant>
@@ -12,123 +13,130 @@
 
 namespace bendtide {
 
-/// A user's request passed on to a controller that can serve it. It is answered with a JobReply.
+/// A user's request, forwarded to a controller that can serve it. The receiver answers with a JobReply.
 struct JobQuery {
   enum class Kind : std::uint8_t { poll, cancel, submit };
-  std::uint64_t id = 0;  ///< chosen by the sender, who matches the reply by it
+  std::uint64_t id = 0;  ///< chosen by the sender, which uses it to match the reply
   Kind kind = Kind::poll;
   std::string job;
-  bool fresh = false;  ///< a poll that may cost a read of the key-value store
-  JobSpec spec;        ///< of a submission only
+  bool fresh = false;  ///< of a poll: whether the receiver may read the key-value store for it
+  JobSpec spec;        ///< set for a submission only
 };
 
 /// The answer to the JobQuery with the same id.
 struct JobReply {
   std::uint64_t id = 0;
-  std::uint32_t status = 503;  ///< HTTP status, as for users
+  std::uint32_t status = 503;  ///< HTTP status, as in replies to users
   JobPhase phase = JobPhase::pending;
-  std::uint64_t done = 0;     ///< tasks
-  std::uint64_t running = 0;  ///< tasks
+  std::uint64_t done = 0;     ///< number of finished tasks
+  std::uint64_t running = 0;  ///< number of running tasks
 };
 
-/// Contract net: the initiator's call to the leader of another shard, which answers with a Proposal. In later
-/// rounds it is sent again with a higher `round` and what is disclosed by then.
+/// Contract net protocol: the initiator asks the leader of another shard for a Proposal. Later rounds repeat
+/// the call with a higher `round` and with the fields that are disclosed from the second round on.
 struct CallForProposals {
   std::uint64_t id = 0;
   std::uint32_t round = 1;
   std::string from_shard;
   std::string job;
   std::string team;
-  std::uint32_t tasks = 0;         ///< that found no capacity in `from_shard`
-  Resources each;                  ///< what one task takes
-  std::vector<std::string> types;  ///< machine types the job may run on; empty: any
-  std::string zone;                ///< empty: any
-  bool spot = false;               ///< whether spot machines will do
+  std::uint32_t tasks = 0;         ///< number of tasks for which `from_shard` has no capacity
+  Resources each;                  ///< required by one task
+  std::vector<std::string> types;  ///< allowed machine types; empty: any
+  std::string zone;                ///< the only allowed zone; empty: any
+  bool spot = false;               ///< whether the tasks may run on spot machines
   std::string image;
-  Quota spare_quota;       ///< share of the team that the initiator can hand over with the tasks
-  bool disclosed = false;  ///< whether the two fields below are set: from the second round on
+  Quota spare_quota;       ///< the part of the team's quota share that can move with the tasks
+  bool disclosed = false;  ///< whether the two fields below are set: true from the second round on
   Priority priority = Priority::normal;
-  Micros deadline_in{0};  ///< until the job's deadline; 0: none
+  Micros deadline_in{0};  ///< time left until the job's deadline; 0: no deadline
 };
 
-/// Contract net: what a shard can take of a call. It reserves nothing; an award based on it fails once the
-/// shard's allocation record has another revision than `quota_revision`.
+/// Contract net protocol: how much of a call for proposals a shard can accept. A proposal reserves nothing.
+/// An award based on it fails if the revision of the shard's quota allocation is no longer `quota_revision`.
 struct Proposal {
-  std::uint64_t id = 0;     ///< of the call
-  std::uint32_t round = 1;  ///< of the call
+  std::uint64_t id = 0;     ///< of the call for proposals
+  std::uint32_t round = 1;  ///< of the call for proposals
   std::string shard;
-  std::uint32_t tasks = 0;          ///< 0: refusal
-  Micros start_delay{0};            ///< until the tasks can start
-  std::uint32_t load_permille = 0;  ///< used thousandths of the cpu of the shard's machines
-  Revision quota_revision = 0;      ///< of the shard's allocation record; 0: not known
-  Quota free_quota_share;           ///< of the call's team, unused; set in a refusal, too
+  std::uint32_t tasks = 0;  ///< number of tasks that the shard can accept; 0: the shard refuses the call
+  Micros start_delay{0};    ///< time until the tasks can start
+  std::uint32_t load_permille = 0;  ///< used part of the shard's cpu capacity, in thousandths
+  Revision quota_revision = 0;      ///< of the shard's quota allocation record; 0: unknown
+  Quota free_quota_share;           ///< the team's unused quota share; also set in a refusal
 };
 
-/// The awards to a shard, or its share of quota, have changed. A hint only: the receiver reads both again.
+/// The awards to a shard, or its quota allocation, have changed. This is only a hint: the receiver rereads
+/// both.
 struct AwardNotice {
-  std::string shard;  ///< the winner
+  std::string shard;  ///< the shard that won the award or received the quota share
 };
 
-/// The final state of a job is written: none of its tasks may run, wherever they were awarded to. Sent to
-/// every controller, as the leaders of shards change. The receiver acts on it without reading the key-value
-/// store, which is safe since it only ever stops what is over.
+/// The final state of a job has been written, so none of its tasks may run any longer, whichever shard they
+/// were awarded to. The notice goes to every controller, because shards change their leaders. The receiver
+/// acts on it without reading the key-value store. That is safe because it only stops tasks of a job that has
+/// ended.
 struct JobEndNotice {
   std::string job;
 };
 
-/// Another shard has recorded finished tasks of jobs of `shard`. A hint only: the receiver reads them.
+/// Another shard has recorded finished tasks of jobs that `shard` owns. This is only a hint: the receiver
+/// reads the records.
 struct ProgressNotice {
   std::string shard;  ///< the owner of the jobs
 };
 
-/// A shard's home host is back and asks the present leader for the shard.
+/// The home host of a shard is available again and asks the current leader to transfer the shard back.
 struct FailbackRequest {
   std::string shard;
 };
 
-/// Sent to every controller at intervals: whether the key-value store answers the sender, and how many
-/// heartbeats it got since its last message from workers whose machines the receiver owns.
+/// The health of the sender, sent to every controller at regular intervals.
 struct PeerHealth {
-  bool store_responsive = false;
+  bool store_responsive = false;  ///< whether the key-value store responds to the sender
+  /// Number of heartbeats that the sender has received since its last health message from workers of machines
+  /// that the receiver owns.
   std::uint32_t your_heartbeats = 0;
 };
 
-/// A machine that did not answer the sender of a LeaseTransfer, and what may run on it.
+/// A machine that does not respond to the sender of a LeaseTransfer, and the tasks that may run on it.
 struct UnreachableMachine {
   std::string machine;
-  Micros status_ago{0};  ///< since its last status
-  Micros reply_ago{0};   ///< since the last reply to it, which renewed its lease
+  Micros status_ago{0};  ///< time since the machine's last status arrived
+  Micros reply_ago{0};   ///< time since the last reply to the machine, which renewed its worker's lease
   std::vector<TaskStatus> tasks;
 };
 
-/// The sender has given up the leadership of a shard. The receiver may acquire it by replacing the very lease
-/// record that `fencing_token` stands for.
+/// The sender has given up the leadership of a shard. The receiver may acquire the shard by replacing the
+/// lease record, on condition that its revision is still the one that `fencing_token` represents.
 struct LeaseTransfer {
   std::string shard;
   FencingToken fencing_token = 0;
-  bool asked_for = false;  ///< by a FailbackRequest of the receiver; else the sender can't serve the shard
+  /// Whether the transfer answers a FailbackRequest of the receiver. Otherwise the sender can't serve the
+  /// shard.
+  bool asked_for = false;
   std::vector<UnreachableMachine> unreachable;
 };
 
-/// Asks the leader of `from` to transfer unused share of a team's limit to the shard `to`. It gives what its
-/// own jobs do not need, which may be nothing, and answers with an AwardNotice once that is written.
+/// Asks the leader of shard `from` to transfer unused quota share of a team to shard `to`. The leader
+/// transfers what its own jobs do not need, which may be nothing, and sends an AwardNotice once the transfer
+/// is written.
 struct QuotaTransferRequest {
   std::string from;
   std::string to;
   std::string team;
-  Quota want;             ///< at most this much
-  Micros waits_since{0};  ///< wall clock: when the job that needs it was accepted
+  Quota want;             ///< the largest amount to transfer
+  Micros waits_since{0};  ///< wall clock: when the job that needs the share was accepted
 };
 
-/// The cloud has refused the sender machines of this offering for lack of capacity. A hint: the receiver need
-/// not try it for a while.
+/// The cloud has refused to create machines of this offering for the sender, for lack of capacity. This is
+/// only a hint: the receiver can avoid the offering for a while.
 struct CapacityExhausted {
   std::string type;
   std::string zone;
   bool spot = false;
 };
 
-/// The order of the alternatives is part of the encoding: new ones go to the end.
+/// The order of the alternatives is part of the encoding, so new ones must be appended.
 using PeerMessage =
     std::variant<JobQuery, JobReply, CallForProposals, Proposal, AwardNotice, ProgressNotice, FailbackRequest,
                  QuotaTransferRequest, CapacityExhausted, PeerHealth, LeaseTransfer, JobEndNotice>;
