--- a/src/core/model/policy.cpp
+++ b/src/core/model/policy.cpp
@@ -9,14 +9,14 @@
 constexpr int kMinCallRounds = 1;
 constexpr int kMaxCallRounds = 3;
 
-/// Calls `number(name, field, low, high)` for each numeric field, so that reading, writing and checking
-/// share one table.
+/// Calls `visit(name, field, low, high)` for each field of type double. Reading, writing and
+/// validation share this table.
 template <class P, class F>
-void each_number(P& policy, F&& number) {
-  number("idle_return_s", policy.idle_return_s, 1.0, 3600.0);
-  number("silence_reports", policy.silence_reports, 1.5, 100.0);
-  number("call_again_s", policy.call_again_s, 0.1, 600.0);
-  number("close_bids", policy.close_bids, 0.0, 1.0);
+void for_each_number(P& policy, F&& visit) {
+  visit("idle_return_s", policy.idle_return_s, 1.0, 3600.0);
+  visit("silence_reports", policy.silence_reports, 1.5, 100.0);
+  visit("call_again_s", policy.call_again_s, 0.1, 600.0);
+  visit("close_bids", policy.close_bids, 0.0, 1.0);
 }
 
 std::optional<PolicyError> check_names(const Value& fields, const Value& known) {
@@ -27,7 +27,7 @@
 
 std::optional<PolicyError> apply_numbers(Policy& policy, const Value& fields) {
   std::optional<PolicyError> error;
-  each_number(policy, [&](const char* name, double& field, double low, double high) {
+  for_each_number(policy, [&](const char* name, double& field, double low, double high) {
     const auto given = fields.find(name);
     if (given == fields.end() || error) return;
     const double value = given->is_number() ? given->get<double>() : NAN;
@@ -62,7 +62,7 @@
 
 Value Policy::to_json(const Policy& policy) {
   Value out = {{"call_rounds", policy.call_rounds}, {"spot_machines", policy.spot_machines}};
-  each_number(policy, [&](const char* name, double field, double, double) { out[name] = field; });
+  for_each_number(policy, [&](const char* name, double field, double, double) { out[name] = field; });
   return out;
 }
 
