--- a/src/core/model/json_fields.h
+++ b/src/core/model/json_fields.h
@@ -1,5 +1,5 @@
-// Checked access to the fields of a stored record. For the implementation of records.cpp only: a field that
-// can't be read throws an UnreadableField, which must not leave that file.
+// Checked access to the fields of a stored record. Only for the implementation of records.cpp: the functions
+// throw an UnreadableField for a field that can't be read, and that exception must not leave records.cpp.
 #pragma once
 
 #include <cstddef>
@@ -12,20 +12,20 @@
 
 namespace bendtide::records {
 
-/// Thrown with the path to the field as far as it is known, and completed by the callers that read the values
-/// round it.
+/// Thrown for a field that can't be read. While the exception propagates, each with_path_element() call
+/// prepends its element to the path in the error.
 struct UnreadableField {
   ReadError error;
 };
 
-[[noreturn]] inline void unreadable(ReadError::Kind kind) { throw UnreadableField{{kind, {}}}; }
+[[noreturn]] inline void throw_unreadable(ReadError::Kind kind) { throw UnreadableField{{kind, {}}}; }
 
 inline std::string path_element(const char* key) { return std::string("/") + key; }
 inline std::string path_element(std::size_t index) { return "/" + std::to_string(index); }
 
-/// Calls `read()`, which reads the field or element called `name`.
+/// Returns `read()`, which reads the field or element `name`, and adds `name` to the path of any error.
 template <class Name, class Read>
-auto within(const Name& name, Read&& read) {
+auto with_path_element(const Name& name, Read&& read) {
   try {
     return read();
   } catch (UnreadableField& unreadable_field) {
@@ -34,59 +34,62 @@
   }
 }
 
-/// A value as a `T`, by nlohmann's conversions.
+/// Returns a value converted to `T` by the rules of nlohmann::json.
 template <class T>
-T as(const Value& value) {
+T value_as(const Value& value) {
   try {
     return value.get<T>();
   } catch (const Value::exception&) {
-    unreadable(ReadError::Kind::wrong_type);
+    throw_unreadable(ReadError::Kind::wrong_type);
   }
 }
 
-/// `read` of the field `key` of an object.
+/// Returns the result of `read` for the required field `key` of an object.
 template <class Read>
 auto read_field(const Value& object, const char* key, Read&& read) {
-  if (!object.is_object()) unreadable(ReadError::Kind::wrong_type);
-  return within(key, [&] {
+  if (!object.is_object()) throw_unreadable(ReadError::Kind::wrong_type);
+  return with_path_element(key, [&] {
     const auto found = object.find(key);
-    if (found == object.end()) unreadable(ReadError::Kind::missing_field);
+    if (found == object.end()) throw_unreadable(ReadError::Kind::missing_field);
     return read(*found);
   });
 }
 
-/// `read` of one element of an array.
+/// Returns the result of `read` for one element of an array.
 template <class Read>
 auto read_element(const Value& array, std::size_t index, Read&& read) {
-  if (!array.is_array()) unreadable(ReadError::Kind::wrong_type);
-  return within(index, [&] {
-    if (index >= array.size()) unreadable(ReadError::Kind::missing_field);
+  if (!array.is_array()) throw_unreadable(ReadError::Kind::wrong_type);
+  return with_path_element(index, [&] {
+    if (index >= array.size()) throw_unreadable(ReadError::Kind::missing_field);
     return read(array[index]);
   });
 }
 
-/// `read` of each element of an array, in order. Null is read as an array without elements.
+/// Returns the results of `read` for all elements of an array, in order. Null counts as an empty array.
 template <class T, class Read>
 std::vector<T> read_elements(const Value& array, Read&& read) {
   std::vector<T> out;
   out.reserve(array.size());
-  for (const Value& value : array) out.push_back(within(out.size(), [&] { return read(value); }));
+  for (const Value& value : array) out.push_back(with_path_element(out.size(), [&] { return read(value); }));
   return out;
 }
 
+/// Returns the required field `key` of an object.
 template <class T>
 T field(const Value& object, const char* key) {
-  return read_field(object, key, [](const Value& value) { return as<T>(value); });
+  return read_field(object, key, [](const Value& value) { return value_as<T>(value); });
 }
 
+/// Returns the optional field `key` of an object, or `default_value` if the object lacks it.
 template <class T>
-T field_or(const Value& object, const char* key, T otherwise) {
-  return object.contains(key) ? field<T>(object, key) : otherwise;
+T field_or(const Value& object, const char* key, T default_value) {
+  return object.contains(key) ? field<T>(object, key) : default_value;
 }
 
+/// Returns one element of an array.
 template <class T>
 T element(const Value& array, std::size_t index) {
-  return read_element(array, index, [](const Value& value) { return as<T>(value); });
+  return read_element(array, index, [](const Value& value) { return value_as<T>(value); });
 }
 
 }  // namespace bendtide::records
--- a/src/core/model/records.h
+++ b/src/core/model/records.h
@@ -1,19 +1,20 @@
-// The records kept in the key-value store, and their keys. Keys and fields are part of the stored data: they
-// stay as they are, also where the code has other names by now.
+// The records in the key-value store and their keys. The names of keys and fields are part of the stored data
+// and must not change, even where the code uses other names for them.
 //
-//   key                  record
-//   hold/SHARD           LeaseRecord: the shard's leader; attached to the leader's lease. Its revision is the
-//                        shard's fencing token
-//   room/SHARD           QuotaAllocation: the shard's share of each team's limit
-//   live/JOB             LiveJob: an unfinished job and its shard; written when the job is accepted
-//   job/JOB              FinalJob: the final state of a job; replaces live/JOB in one transaction
-//   done/SHARD/SLOT      DoneBits of unfinished jobs, written by the shard that ran the tasks
-//   award/SHARD/JOB/ROUND  Award: tasks of another shard's job awarded to SHARD
-//   claim/SHARD/BLOCK    OwnedMachine list: machines that belong to the shard
-//   claim/-/SHARD        rewritten with every ownership record of a machine whose home is the shard
-//                        (core/ownership/machine_ownership.h)
-//   catalogue            machine types, for restarts while the cloud's API is down
-//   policy               the operators' own settings (core/model/policy.h)
+//   key                     record
+//   hold/SHARD              LeaseRecord: the leader of the shard; attached to the leader's lease. The
+//                           revision of this key is the fencing token of the shard
+//   room/SHARD              QuotaAllocation: the shard's share of the limit of each team
+//   live/JOB                LiveJob: an unfinished job and the shard that owns it; written on acceptance
+//   job/JOB                 FinalJob: the final state of a job; replaces live/JOB in the same transaction
+//   done/SHARD/SLOT         list of DoneBits: finished tasks of unfinished jobs; written by the shard that
+//                           ran the tasks
+//   award/SHARD/JOB/NUMBER  Award: tasks of another shard's job that are awarded to SHARD
+//   claim/SHARD/BLOCK       list of OwnedMachine: machines that the shard owns
+//   claim/-/SHARD           rewritten by each write that adds a machine with this home shard to an ownership
+//                           record (core/ownership/machine_ownership.h)
+//   catalogue               list of MachineType; used after a restart while the cloud API is unavailable
+//   policy                  Policy: the settings that operators change (core/model/policy.h)
 #pragma once
 
 #include "core/model/job.h"
@@ -28,41 +29,41 @@
   std::string host;
   std::string incarnation;
 };
-/// The part of each team's limit that a shard may use.
+/// The part of the limit of each team that a shard may use.
 struct QuotaAllocation {
   std::map<std::string, Quota> quota_shares;  ///< by team
 };
-/// How a job ended.
+/// The final state of a job.
 struct FinalJob {
   JobPhase phase = JobPhase::pending;
-  std::uint32_t tasks = 0;
+  std::uint32_t tasks = 0;  ///< number of tasks of the job
 };
 /// An unfinished job.
 struct LiveJob {
-  std::string shard;
+  std::string shard;  ///< the owner
   JobSpec spec;
-  Micros accepted{0};  ///< wall clock
+  Micros accepted{0};  ///< wall clock: when the job was accepted
 };
-/// Tasks of one job that are done: a bitmap for each chunk of kChunk tasks.
+/// The finished tasks in one chunk of kChunk tasks of a job.
 struct DoneBits {
   std::string job;
-  std::uint32_t chunk = 0;
-  std::vector<bool> bits;
+  std::uint32_t chunk = 0;  ///< number of the chunk; its first task is `chunk * kChunk`
+  std::vector<bool> bits;   ///< by task within the chunk: whether the task has finished
 };
-/// Tasks that a shard has awarded to another.
+/// Tasks that the owner of a job has awarded to another shard.
 struct Award {
-  std::string owner;                                            ///< the shard whose job it is
+  std::string owner;                                            ///< the shard that owns the job
   std::vector<std::pair<std::uint32_t, std::uint32_t>> ranges;  ///< first task, number of tasks
   LiveJob job;
 };
-/// A machine that belongs to a shard.
+/// A machine that a shard owns.
 struct OwnedMachine {
   std::string name;
   std::string type;
   std::string zone;
   bool spot = false;
   std::string address;  ///< empty until its worker has sent a heartbeat
-  Micros rented_at{0};  ///< wall clock
+  Micros rented_at{0};  ///< wall clock: when the machine was created
 };
 
 inline std::string lease_key(const std::string& shard) { return "hold/" + shard; }
@@ -74,15 +75,18 @@
   return done_prefix(shard) + std::to_string(slot);
 }
 inline std::string award_prefix(const std::string& shard) { return "award/" + shard + "/"; }
-inline std::string award_key(const std::string& shard, const std::string& id, std::uint64_t round) {
-  return award_prefix(shard) + id + "/" + std::to_string(round);
+/// `number` distinguishes the awards of tasks of the same job to the same shard.
+inline std::string award_key(const std::string& shard, const std::string& id, std::uint64_t number) {
+  return award_prefix(shard) + id + "/" + std::to_string(number);
 }
-inline const std::string kHomeShards = "-";  ///< in place of a shard; sorts before the name of any
+/// Stands in place of the shard name in the keys of home shard records, so that they sort before the
+/// ownership records of all shards.
+inline const std::string kHomeShards = "-";
 inline std::string ownership_key(const std::string& shard, std::uint32_t block) {
   return "claim/" + shard + "/" + std::to_string(block);
 }
 inline std::string home_shard_key(const std::string& shard) { return "claim/" + kHomeShards + "/" + shard; }
-/// Tasks in one chunk of a done record: its bitmap takes 1 KiB.
+/// Number of tasks in one chunk of a done record. The bitmap of a chunk takes 1 KiB.
 constexpr std::uint32_t kChunk = 4096;
 inline const std::string kLeasePrefix = "hold/";
 inline const std::string kLivePrefix = "live/";
@@ -92,24 +96,26 @@
 inline const std::string kCatalogueKey = "catalogue";
 inline const std::string kPolicyKey = "policy";
 
-/// Splits a key at its slashes.
+/// Returns the parts of a key between its slashes.
 std::vector<std::string> split_key(const std::string& key);
 
-// Writing.
+// Functions that write records.
+
 Value to_json(const LeaseRecord&);
 Value to_json(const QuotaAllocation&);
 Value to_json(const FinalJob&);
 Value to_json(const LiveJob&);
 Value to_json(const Award&);
 Value to_json(const std::vector<OwnedMachine>&);
-/// Upper bound of the bytes that one machine takes in an ownership record.
+/// Returns an upper bound on the bytes that a machine takes in an ownership record.
 std::size_t owned_machine_bytes(const OwnedMachine&);
 Value to_json(const std::vector<MachineType>&);
 Value to_json(const std::vector<DoneBits>& done);
-/// Upper bound of the bytes that one chunk of `tasks` tasks takes in a done record.
+/// Returns an upper bound on the bytes that one chunk of `tasks` tasks takes in a done record.
 std::size_t done_bytes(const std::string& job, std::size_t tasks);
 
-// Reading. A record that can't be read is dropped by its reader, which logs the error.
+// Functions that read records. Callers ignore a record that can't be read; log_unreadable() logs the error.
+
 ReadResult<LeaseRecord> lease_record(const Value&);
 ReadResult<QuotaAllocation> quota_allocation(const Value&);
 ReadResult<FinalJob> final_job(const Value&);
@@ -119,7 +125,7 @@
 ReadResult<std::vector<MachineType>> catalogue(const Value&);
 ReadResult<std::vector<DoneBits>> done(const Value&);
 
-/// Reads the record that a response to a GetKey shows, by one of the functions above.
+/// Reads the record in the response to a GetKey with `read`, one of the functions above.
 template <class Record>
 ReadResult<Record> read_first(const StoreResponse& response, ReadResult<Record> (*read)(const Value&)) {
   if (!response.ok() || response.entries.empty()) return ReadError{ReadError::Kind::no_record, {}};
