--- a/src/core/controller/overview.cpp
+++ b/src/core/controller/overview.cpp
@@ -4,9 +4,9 @@
 
 namespace {
 
-constexpr std::size_t kRowLimit = 1000;  ///< of one response
+constexpr std::size_t kMaxRows = 1000;  ///< in one response
 
-double in_units(std::int64_t thousandths) { return static_cast<double>(thousandths) / 1000.0; }
+double from_thousandths(std::int64_t thousandths) { return static_cast<double>(thousandths) / 1000.0; }
 
 }  // namespace
 
@@ -16,8 +16,8 @@
   for (const auto& [name, shard] : state.shards) {
     Value quota_shares = Value::object();
     for (const auto& [team, share] : shard.quota.shares())
-      quota_shares[team] = {{"share_cpus", in_units(share.cpu)},
-                            {"used_or_possibly_used_cpus", in_units(shard.used(team).cpu)}};
+      quota_shares[team] = {{"share_cpus", from_thousandths(share.cpu)},
+                            {"used_or_possibly_used_cpus", from_thousandths(shard.used(team).cpu)}};
     held.push_back({{"part", name},
                     {"token", shard.fencing_token.value()},
                     {"ready", shard.ready()},
@@ -39,7 +39,7 @@
   Value rows = Value::array();
   for (const auto& [name, shard] : state.shards)
     for (const auto& [id, machine] : shard.machines) {
-      if (rows.size() >= kRowLimit) return rows;
+      if (rows.size() >= kMaxRows) return rows;
       rows.push_back({{"machine", id},
                       {"part", name},
                       {"type", machine.type},
@@ -54,7 +54,7 @@
                       {"quarantined", machine.lifecycle.quarantined},
                       {"being_deleted", machine.lifecycle.decommissioned},
                       {"tasks", machine.tasks.size()},
-                      {"free_cpus", in_units(machine.free().cpu)}});
+                      {"free_cpus", from_thousandths(machine.free().cpu)}});
     }
   return rows;
 }
@@ -63,7 +63,7 @@
   Value rows = Value::array();
   for (const auto& [name, shard] : state.shards)
     for (const auto& [id, job] : shard.jobs) {
-      if (rows.size() >= kRowLimit) return rows;
+      if (rows.size() >= kMaxRows) return rows;
       rows.push_back({{"job", id},
                       {"part", name},
                       {"owner", job.owner.empty() ? name : job.owner},
@@ -81,9 +81,9 @@
   return rows;
 }
 
-Value negotiations(const ContractNet& net) {
-  const NegotiationCounters& counters = net.counters();
-  return {{"open", net.open_calls()},
+Value negotiations(const ContractNet& contract_net) {
+  const NegotiationCounters& counters = contract_net.counters();
+  return {{"open", contract_net.open_calls()},
           {"calls", counters.calls},
           {"rounds", counters.rounds},
           {"awards", counters.awards},
--- a/src/core/controller/overview.h
+++ b/src/core/controller/overview.h
@@ -1,17 +1,17 @@
-// What operators see of a controller: the bodies of its responses on the admin interface.
+// The state of a controller as shown to operators: the bodies of its responses on the administration API.
 #pragma once
 
 #include "core/negotiation/contract_net.h"
 
 namespace bendtide::overview {
 
-/// The shards that it leads, and the leaders of all shards.
+/// The shards that the controller leads, and the leaders of all shards.
 Value shards(const ControllerState& state);
-/// The machines of the shards that it leads, up to a limit.
+/// The machines of the shards that the controller leads, up to 1000.
 Value machines(const ControllerState& state);
-/// The unfinished jobs of the shards that it leads, up to a limit.
+/// The unfinished jobs of the shards that the controller leads, up to 1000.
 Value jobs(const ControllerState& state);
-/// Counters of its negotiations with peers.
-Value negotiations(const ContractNet& net);
+/// The counters of the controller's negotiations with peers.
+Value negotiations(const ContractNet& contract_net);
 
 }  // namespace bendtide::overview
