--- a/src/core/controller/policy_store.cpp
+++ b/src/core/controller/policy_store.cpp
@@ -11,11 +11,11 @@
 }  // namespace
 
 void PolicyStore::tick() {
-  if (state_.now() >= next_read_) read();
+  if (state_.now() >= next_read_at_) read();
 }
 
 void PolicyStore::read() {
-  next_read_ = state_.now() + kReadInterval;
+  next_read_at_ = state_.now() + kReadInterval;
   state_.store.get(records::kPolicyKey, [this](const StoreResponse& response) {
     if (!response.ok() || response.entries.empty()) return;
     Policy policy;
@@ -27,15 +27,15 @@
 void PolicyStore::change(std::uint64_t request, const Value& fields) {
   state_.store.get(records::kPolicyKey,
                    [this, change = Change{request, fields}](const StoreResponse& response) {
-                     on_read_for(change, response);
+                     on_policy_read(change, response);
                    });
 }
 
-void PolicyStore::on_read_for(const Change& change, const StoreResponse& response) {
+void PolicyStore::on_policy_read(const Change& change, const StoreResponse& response) {
   if (!response.ok() && response.outcome != Outcome::absent) return answer_unavailable(change);
   Policy policy;
   const Revision revision = response.entries.empty() ? Revision{} : response.entries.front().revision;
-  // A stored policy that can't be applied counts as the default.
+  // A stored policy that can't be applied is replaced by the default one.
   if (revision != 0 && policy.apply(response.entries.front().value)) policy = Policy{};
   if (const auto error = policy.apply(change.fields))
     return state_.context.act(AnswerAdmin{change.request, 400, {{"error", error->text()}}});
@@ -44,7 +44,7 @@
 
 void PolicyStore::write(const Change& change, const Policy& policy, Revision expected_revision) {
   Transaction transaction;
-  // Nobody else may have changed it since it was read.
+  // The write fails if the policy has changed since it was read.
   transaction.compares = {{records::kPolicyKey, expected_revision}};
   transaction.writes = {{records::kPolicyKey, Policy::to_json(policy), 0}};
   state_.store.commit(std::move(transaction), [this, change, policy](const StoreResponse& response) {
