--- a/src/core/controller/shard_loader.cpp
+++ b/src/core/controller/shard_loader.cpp
@@ -10,9 +10,13 @@
 
 }  // namespace
 
-ShardLoader::ShardLoader(ControllerState& state, Fleet& fleet, ContractNet& net, Jobs& jobs,
+ShardLoader::ShardLoader(ControllerState& state, Fleet& fleet, ContractNet& contract_net, Jobs& jobs,
                          std::function<void(Shard&)> on_ready)
-    : state_(state), fleet_(fleet), net_(net), jobs_(jobs), on_ready_(std::move(on_ready)) {}
+    : state_(state),
+      fleet_(fleet),
+      contract_net_(contract_net),
+      jobs_(jobs),
+      on_ready_(std::move(on_ready)) {}
 
 void ShardLoader::load(const Shard& shard) { read_records({shard.name, shard.leadership_term}); }
 
@@ -51,7 +55,7 @@
   if (reads.failed || state_.catalogue.empty()) return retry(load, &ShardLoader::read_records);
   fleet_.ownership().load(*shard, reads.owned_machines);
   load_jobs(*shard, reads);
-  net_.load_awards(*shard, reads.awards, reads.requested_at);
+  contract_net_.load_awards(*shard, reads.awards, reads.requested_at);
   ContractNet::load_progress(*shard, reads.done_tasks);
   fleet_.restore_unreachable_machines(*shard);
   shard->award_freshness.confirm(shard->acquired_at, state_.context.settings.lease_term());
@@ -65,7 +69,7 @@
     jobs_.learn_shard(*record);
     if (record->shard != shard.name) continue;
     if (!state_.may_act_on(shard, record->spec.id, reads.requested_at)) continue;
-    // An earlier leader may have started any of its tasks on any machine.
+    // An earlier leader may have started any task of the job on any machine.
     Jobs::load(shard, *record).unreconciled = true;
   }
   shard.has_unreconciled_jobs = true;
