--- a/src/core/controller/controller.cpp
+++ b/src/core/controller/controller.cpp
@@ -8,14 +8,14 @@
 
 constexpr Micros kSchedulingInterval = millis(100);
 
-/// Takes back what may be outdated when it is sent late: an unfinished job may have ended, or been cancelled,
-/// meanwhile.
+/// Removes or refuses what may be outdated if an action is executed late, because an unfinished job may have
+/// ended or been cancelled in the meantime.
 struct OutdatedActionFilter {
   void operator()(AnswerUser& answer) const { refuse_unless_final(answer.reply); }
   void operator()(PeerSend& message) const {
     if (auto* reply = std::get_if<JobReply>(&message.message)) refuse_unless_final(*reply);
   }
-  /// A start that is left out counts as not sent at the next heartbeat.
+  /// At the next heartbeat of the worker, a removed start command counts as not sent.
   void operator()(WorkerCall& call) const {
     std::erase_if(call.request.commands,
                   [](const Command& command) { return command.kind == Command::Kind::start; });
@@ -38,10 +38,10 @@
       fleet_(state_, {[this](Shard& shard, Machine& machine) { place_on(shard, machine); },
                       [this] { shard_leases_.invalidate(); }}),
       scheduler_(state_, fleet_),
-      net_(state_, scheduler_, {[this] { shard_leases_.invalidate(); }}),
+      contract_net_(state_, scheduler_, {[this] { shard_leases_.invalidate(); }}),
       jobs_(state_, {[this](Shard& shard) { schedule(shard); }, [this] { shard_leases_.invalidate(); }}),
       autoscaler_(state_, fleet_),
-      loader_(state_, fleet_, net_, jobs_, [this](Shard& shard) { on_shard_ready(shard); }),
+      loader_(state_, fleet_, contract_net_, jobs_, [this](Shard& shard) { on_shard_ready(shard); }),
       shard_leases_(
           state_, fleet_, [this](Shard& shard) { loader_.load(shard); },
           [this](const std::string& shard) { fleet_.on_shard_lost(shard); }) {}
@@ -57,8 +57,8 @@
 }
 
 void Controller::place_on(Shard& shard, Machine& machine) {
-  // Tasks of awards that are stale have to make room before the machine is filled.
-  net_.stop_stale_awards(shard, machine);
+  // Tasks of stale awards must be stopped before new tasks are placed on the machine.
+  contract_net_.stop_stale_awards(shard, machine);
   scheduler_.fill(shard, machine);
 }
 
@@ -72,14 +72,14 @@
   shard_leases_.tick();
   state_.store.send_queued();
   policy_.tick();
-  if (context_.now < next_scheduling_) return;
-  next_scheduling_ = context_.now + kSchedulingInterval;
+  if (context_.now < next_scheduling_at_) return;
+  next_scheduling_at_ = context_.now + kSchedulingInterval;
   fleet_.tick();
   if (state_.lease_valid())
     for (auto& [name, shard] : state_.shards)
       if (shard.ready()) schedule(shard);
   jobs_.tick();
-  net_.tick();
+  contract_net_.tick();
   autoscaler_.tick();
 }
 
@@ -88,15 +88,16 @@
 }
 
 std::vector<Action> Controller::take_actions(Micros steady) {
-  // Commands and writes carry the fencing token, which lets their receivers tell that they are outdated.
-  // Answers do not: after a pause our lease may be over, and another leader may have answered since.
+  // Commands and writes carry the fencing token, so their receivers can reject outdated ones. Replies carry
+  // no token: after a pause, the lease of this controller may have expired and another leader may have
+  // replied since.
   const bool paused = steady - context_.now > kTimerMargin;
   std::vector<Action> out;
   while (!context_.actions.empty()) {
     std::vector<Action> batch = std::exchange(context_.actions, {});
     for (Action& action : batch) {
       if (paused) std::visit(OutdatedActionFilter{}, action);
-      // A controller that leads a peer's shard sends messages to itself.
+      // A controller that leads the home shard of a peer may send messages to itself.
       const auto* to_peer = std::get_if<PeerSend>(&action);
       if (to_peer != nullptr && to_peer->host == state_.self())
         on_peer(state_.self(), to_peer->message);
@@ -113,15 +114,15 @@
     const std::string& host;
     void operator()(const JobQuery& m) { controller.jobs_.on_query(host, m); }
     void operator()(const JobReply& m) { controller.jobs_.on_reply(m); }
-    void operator()(const CallForProposals& m) { controller.net_.on_call(m); }
-    void operator()(const Proposal& m) { controller.net_.on_proposal(m); }
-    void operator()(const AwardNotice& m) { controller.net_.on_award_notice(m.shard); }
-    void operator()(const JobEndNotice& m) { controller.net_.on_job_end_notice(m); }
-    void operator()(const ProgressNotice& m) { controller.net_.on_progress_notice(m.shard); }
+    void operator()(const CallForProposals& m) { controller.contract_net_.on_call(m); }
+    void operator()(const Proposal& m) { controller.contract_net_.on_proposal(m); }
+    void operator()(const AwardNotice& m) { controller.contract_net_.on_award_notice(m.shard); }
+    void operator()(const JobEndNotice& m) { controller.contract_net_.on_job_end_notice(m); }
+    void operator()(const ProgressNotice& m) { controller.contract_net_.on_progress_notice(m.shard); }
     void operator()(const FailbackRequest& m) {
       if (m.shard == host) controller.shard_leases_.fail_back(m.shard);
     }
-    void operator()(const QuotaTransferRequest& m) { controller.net_.on_quota_transfer_request(m); }
+    void operator()(const QuotaTransferRequest& m) { controller.contract_net_.on_quota_transfer_request(m); }
     void operator()(const CapacityExhausted& m) { controller.autoscaler_.on_capacity_exhausted(m); }
     void operator()(const PeerHealth& m) { controller.shard_leases_.on_peer_health(host, m); }
     void operator()(const LeaseTransfer& m) { controller.shard_leases_.on_lease_transfer(m); }
@@ -131,10 +132,10 @@
 
 // ---- operators -----------------------------------------------------------------------------------
 
-void Controller::on_admin(std::uint64_t request, const AdminRequest& asked) {
+void Controller::on_admin(std::uint64_t request, const AdminRequest& admin_request) {
   using What = AdminRequest::What;
   const auto answer = [&](Value body) { context_.act(AnswerAdmin{request, 200, std::move(body)}); };
-  switch (asked.what) {
+  switch (admin_request.what) {
     case What::policy:
       return answer(Policy::to_json(context_.policy));
     case What::shards:
@@ -144,9 +145,9 @@
     case What::jobs:
       return answer(overview::jobs(state_));
     case What::negotiations:
-      return answer(overview::negotiations(net_));
+      return answer(overview::negotiations(contract_net_));
     case What::change_policy:
-      return policy_.change(request, asked.body);
+      return policy_.change(request, admin_request.body);
   }
 }
 
--- a/src/core/controller/controller.h
+++ b/src/core/controller/controller.h
@@ -1,4 +1,4 @@
-// The core of one controller.
+// The core of a controller.
 #pragma once
 
 #include "core/controller/policy_store.h"
@@ -10,22 +10,24 @@
 
 namespace bendtide {
 
-/// One controller as a state machine: events in, actions out. It has no clock, no randomness and no input or
-/// output of its own; the shell (app/) and the simulated cluster (tests/) drive it alike.
+/// A controller as a deterministic state machine that takes events and returns actions. It reads no clock,
+/// uses no random numbers other than those derived from its seed, and does no input or output. The shell
+/// (app/) and the simulated cluster (tests/) drive it in the same way.
 class Controller {
  public:
-  /// `incarnation` names this process among all that ever ran under this host name.
+  /// `incarnation` identifies this process among all processes that ever ran under this host name.
   Controller(Settings settings, std::string incarnation, std::uint64_t seed);
 
-  /// Sets both clocks; called before every event.
+  /// Sets both clocks. Must be called before every event.
   void at(Micros steady, Micros wall);
-  /// Does what is due by now; to be called at least once in each scheduling interval, which is 100 ms.
+  /// Runs everything that is due. Must be called at least once in each scheduling interval of 100 ms.
   void tick();
 
-  // Requests of users, workers and operators: each is answered by one action with the same `request` number.
+  // Requests from users, workers and operators. Each is answered by one action with the same `request`
+  // number.
 
   void on_submit(std::uint64_t request, const JobSpec& spec) { jobs_.on_submit(request, spec); }
-  /// A submission of the job `id` that is not valid, for the reason `why`.
+  /// A submission of the job `id` that is invalid for the reason `why`.
   void on_malformed(std::uint64_t request, const std::string& id, const std::string& why) {
     jobs_.on_malformed(request, id, why);
   }
@@ -34,9 +36,9 @@
   void on_heartbeat(std::uint64_t request, const Heartbeat& heartbeat) {
     fleet_.on_heartbeat(request, heartbeat);
   }
-  void on_admin(std::uint64_t request, const AdminRequest& asked);
+  void on_admin(std::uint64_t request, const AdminRequest& admin_request);
 
-  // Responses to the actions of the core, which carry the same `call` number.
+  // Responses to actions of the core. Each carries the `call` number of its action.
 
   void on_store_response(std::uint64_t call, const StoreResponse& response) {
     state_.store.on_response(call, response);
@@ -48,25 +50,26 @@
     fleet_.on_command_response(call, response);
   }
 
-  /// A message of another controller, or of this one to itself.
+  /// A message from another controller, or from this controller to itself.
   void on_peer(const std::string& host, const PeerMessage& message);
 
-  /// Whether debug lines are written; their text is not made otherwise.
+  /// Sets whether debug lines are written. Their text is only built if they are.
   void write_debug_lines(bool wanted) { context_.debugging = wanted; }
   const InvariantCounts& invariants() const { return context_.invariants; }
-  /// Whether requests of users should be routed here: our own shard is loaded, and the catalogue is known.
+  /// Whether users' requests should be routed to this controller: its home shard is loaded and the catalogue
+  /// is known.
   bool healthy();
-  /// The actions since the last call. `steady`: the steady clock once more. If the process was paused since
-  /// the event began, its answers to users about unfinished jobs, and starts of tasks, may be outdated, and
-  /// are withheld.
+  /// Returns the actions since the last call. `steady` is the current time on the steady clock. If the
+  /// process was paused after the event began, replies to users about unfinished jobs and start commands may
+  /// be outdated: the replies get status 503 and the start commands are removed.
   std::vector<Action> take_actions(Micros steady);
 
   const ControllerState& state() const { return state_; }
-  const ContractNet& net() const { return net_; }
+  const ContractNet& contract_net() const { return contract_net_; }
 
  private:
   void schedule(Shard& shard);
-  /// Changes what is placed on a machine once its heartbeat was applied.
+  /// Updates the placements on a machine after its heartbeat was applied.
   void place_on(Shard& shard, Machine& machine);
   void on_shard_ready(Shard& shard);
 
@@ -75,12 +78,12 @@
   PolicyStore policy_;
   Fleet fleet_;
   Scheduler scheduler_;
-  ContractNet net_;
+  ContractNet contract_net_;
   Jobs jobs_;
   Autoscaler autoscaler_;
   ShardLoader loader_;
   ShardLeases shard_leases_;
-  Micros next_scheduling_{0};  ///< steady clock
+  Micros next_scheduling_at_{0};  ///< steady clock
 };
 
 }  // namespace bendtide
--- a/tests/sim/simulated_controllers.cpp
+++ b/tests/sim/simulated_controllers.cpp
@@ -56,7 +56,7 @@
 
 void SimulatedControllers::crash(ControllerHost& host, Micros restart_after) {
   if (!host.is_up()) return;
-  awards_of_ended_ += host.core->net().counters().awards;
+  awards_of_ended_ += host.core->contract_net().counters().awards;
   host.core.reset();
   host.paused_until = Micros{0};
   host.pauses_for = Micros{0};
@@ -152,7 +152,7 @@
 std::uint64_t SimulatedControllers::awards() const {
   std::uint64_t awards = awards_of_ended_;
   for (const auto& host : hosts_)
-    if (host->is_up()) awards += host->core->net().counters().awards;
+    if (host->is_up()) awards += host->core->contract_net().counters().awards;
   return awards;
 }
 
