--- a/src/core/runtime/context.h
+++ b/src/core/runtime/context.h
@@ -1,4 +1,4 @@
-// What all modules of the core share.
+// The context that all modules of the core share.
 #pragma once
 
 #include <functional>
@@ -16,21 +16,21 @@
 
 namespace bendtide {
 
-/// The settings, the present time as set by the shell, the actions collected for it, and the timers of one
-/// controller.
+/// The settings, clocks, timers and pending actions of one controller. The shell sets the clocks and executes
+/// the actions.
 struct Context {
   Settings settings;
-  Policy policy;                ///< what operators may change while controllers run
-  std::string incarnation;      ///< names this process among all that ever ran under this host name
-  std::mt19937_64 random;       ///< seeded by the shell
-  Micros now{0};                ///< steady clock
-  Micros wall{0};               ///< wall clock, which may differ between hosts within the platform's bound
-  std::vector<Action> actions;  ///< in the order in which they are to be done
-  std::multimap<Micros, std::function<void()>> timers;  ///< by the time on the steady clock
+  Policy policy;            ///< settings that operators may change at run time
+  std::string incarnation;  ///< identifies this process among all that ever ran under this host name
+  std::mt19937_64 random;   ///< seeded by the shell
+  Micros now{0};            ///< steady clock
+  Micros wall{0};           ///< wall clock; hosts may differ by up to the clock error bound of the platform
+  std::vector<Action> actions;                          ///< in the order of execution
+  std::multimap<Micros, std::function<void()>> timers;  ///< by due time on the steady clock
   bool debugging = false;                               ///< whether debug lines are written
   InvariantCounts invariants{};
 
-  /// Calls `callback` once `delay` is over, in the next tick.
+  /// Calls `callback` in the first tick after `delay`.
   void later(Micros delay, std::function<void()> callback) {
     timers.emplace(now + delay, std::move(callback));
   }
@@ -40,15 +40,16 @@
       timer.mapped()();
     }
   }
+  /// Appends an action for the shell to execute.
   void act(Action action);
   void log(LogLevel level, std::string text) { act(LogLine{level, std::move(text)}); }
   void info(const LogMessage& message) { log(LogLevel::info, message.text()); }
-  /// `make_message` is called only if the line is written, as there is one for every single request or task.
+  /// Calls `make_message` only if debug lines are written, because there is one for every request or task.
   template <class MakeMessage>
   void debug(MakeMessage&& make_message) {
     if (debugging) log(LogLevel::debug, make_message().text());
   }
-  /// Counts and logs a violation. `message`: what is known of the job or shard.
+  /// Counts and logs a violation. `message` describes the job or shard concerned.
   void violated(Invariant invariant, const LogMessage& message) {
     const auto index = static_cast<std::size_t>(invariant);
     ++invariants.violations[index];
