--- a/src/core/runtime/log_message.h
+++ b/src/core/runtime/log_message.h
@@ -1,4 +1,4 @@
-// The form of all log lines.
+// The format of all log lines.
 #pragma once
 
 #include <cstdint>
@@ -11,15 +11,15 @@
 
 namespace bendtide {
 
-/// A log line that can be searched by its keys:
+/// Builds a log line of key-value pairs:
 ///
-///   shard=helm-0 token=1462 job=run-000412 start task=0 attempt=95813633 machine=n-000231: why
+///   shard=node-0 token=1462 job=run-000412 start task=0 attempt=95813633 machine=n-000231: reason
 ///
-/// The shard, token and job come first, then the event, then its details in the order in which they were
-/// added, and last the reason. Keys are the same in all lines.
+/// The shard, token and job come first, followed by the event, the details in the order in which they were
+/// added, and the reason. All lines use the same key for the same thing.
 class LogMessage {
  public:
-  /// `event`: a few words that are the same each time, such as "start" or "job done".
+  /// `event` is a constant phrase of a few words, such as "start" or "job done".
   explicit LogMessage(std::string_view event) : event_(event) {}
 
   LogMessage& shard(std::string_view name) { return subject("shard", name); }
@@ -31,20 +31,21 @@
   LogMessage& machine(std::string_view name) { return detail("machine", name); }
   LogMessage& peer(std::string_view host) { return detail("peer", host); }
   LogMessage& zone(std::string_view name) { return detail("zone", name); }
-  /// Any other detail.
+  /// Adds any other detail.
   LogMessage& detail(std::string_view key, std::string_view value) { return append(details_, key, value); }
   LogMessage& detail(std::string_view key, std::uint64_t value) { return detail(key, std::to_string(value)); }
-  /// A span in whole milliseconds; the key should end in "_ms".
+  /// Adds a duration in whole milliseconds. The key should end in "_ms".
   LogMessage& milliseconds(std::string_view key, Micros span) {
     return detail(key, std::to_string(span.count() / 1000));
   }
 
-  /// Why it happened, in words.
+  /// Sets the reason for the event.
   LogMessage& why(std::string_view reason) {
     reason_ = reason;
     return *this;
   }
 
+  /// Returns the finished line.
   std::string text() const {
     std::string line = subjects_ + event_ + details_;
     if (!reason_.empty()) line += ": " + reason_;
