--- a/src/core/runtime/token_bucket.h
+++ b/src/core/runtime/token_bucket.h
@@ -1,4 +1,4 @@
-// Rate limits for requests to other services.
+// A rate limiter for requests to other services.
 #pragma once
 
 #include <algorithm>
@@ -7,16 +7,18 @@
 
 namespace bendtide {
 
-/// Grants `rate` tokens a second, and up to `burst` at once. It starts full. Times are on the steady clock.
+/// A token bucket that refills at `rate` tokens per second up to `burst` tokens and starts full. Times are on
+/// the steady clock.
 class TokenBucket {
  public:
   TokenBucket(double rate, double burst) : rate_(rate), burst_(burst), level_(burst) {}
-  /// Takes that many tokens; takes none, and returns false, if there are fewer.
+  /// Takes `tokens` tokens. If the bucket holds fewer, takes none and returns false.
   bool take(Micros now, double tokens = 1) {
     if (!has(now, tokens)) return false;
     level_ -= tokens;
     return true;
   }
+  /// Whether the bucket holds at least `tokens` tokens.
   bool has(Micros now, double tokens = 1) {
     refill(now);
     return level_ >= tokens;
