--- a/src/core/runtime/unreadable_record.h
+++ b/src/core/runtime/unreadable_record.h
@@ -1,4 +1,4 @@
-// The log line about a stored record that could not be read.
+// The log line for a stored record that can't be read.
 #pragma once
 
 #include <string>
@@ -8,11 +8,12 @@
 
 namespace bendtide {
 
-/// Logs that the record of `key` is dropped. Where there is no record, there is nothing to log.
+/// Logs that the record at `key` is ignored because it can't be read. Logs nothing if there is no record.
 inline void log_unreadable(Context& context, const std::string& key, const records::ReadError& error) {
   if (error.kind == records::ReadError::Kind::no_record) return;
-  context.debug(
-      [&] { return LogMessage("record dropped").detail("key", key).why(records::to_string(error)); });
+  context.debug([&] {
+    return LogMessage("unreadable record ignored").detail("key", key).why(records::to_string(error));
+  });
 }
 
 }  // namespace bendtide
