--- a/src/codec/archive.h
+++ b/src/codec/archive.h
@@ -1,5 +1,5 @@
-// Writer and Reader of the codec's fields (codec.h), with the same functions, so that one description of a
-// message serves both.
+// Writer and Reader for the fields of the binary codec (codec.h). Both have the same functions, so that one
+// list of fields for each message serves encoding and decoding.
 #pragma once
 
 #include <bit>
@@ -17,7 +17,7 @@
 
 namespace bendtide::codec {
 
-/// Appends fields to a string.
+/// Encodes fields into a string.
 class Writer {
  public:
   void field(std::uint64_t n) {
@@ -53,25 +53,28 @@
   void field(StrongId<Kind> id) {
     field(id.value());
   }
+  /// Writes the length of a list and calls `write_element(writer, element)` for each element.
   template <class T, class F>
-  void list(const std::vector<T>& list, F&& each) {
+  void list(const std::vector<T>& list, F&& write_element) {
     field(std::uint64_t{list.size()});
-    for (const T& one : list) each(*this, one);
+    for (const T& element : list) write_element(*this, element);
   }
   template <class E>
   requires std::is_enum_v<E>
-  void field(E e, E) { field(static_cast<std::uint64_t>(e)); }
+  void field(E e, E /*last*/) { field(static_cast<std::uint64_t>(e)); }
   template <class... T>
   void fields(const T&... all) {
     (field(all), ...);
   }
+  /// Moves the encoded fields out of the writer.
   std::string take() { return std::move(out_); }
 
  private:
   std::string out_;
 };
 
-/// Once anything does not fit, the reader is bad and stays so; every value read from then on is empty.
+/// Decodes fields from a byte string. After the first malformed or missing field, good() stays false and
+/// every further value is read as empty or zero.
 class Reader {
  public:
   explicit Reader(std::string_view in) : in_(in) {}
@@ -91,9 +94,9 @@
     fail();
   }
   void field(std::int64_t& n) {
-    std::uint64_t z = 0;
-    field(z);
-    n = static_cast<std::int64_t>(z >> 1) ^ -static_cast<std::int64_t>(z & 1);
+    std::uint64_t zigzag = 0;
+    field(zigzag);
+    n = static_cast<std::int64_t>(zigzag >> 1) ^ -static_cast<std::int64_t>(zigzag & 1);
   }
   void field(std::uint32_t& n) {
     std::uint64_t wide = 0;
@@ -108,9 +111,9 @@
     b = n == 1;
   }
   void field(Micros& m) {
-    std::int64_t n = 0;
-    field(n);
-    m = Micros{n};
+    std::int64_t count = 0;
+    field(count);
+    m = Micros{count};
   }
   void field(double& d) {
     std::uint64_t n = 0;
@@ -120,9 +123,9 @@
   }
   template <class T>
   void field(std::optional<T>& o) {
-    bool there = false;
-    field(there);
-    if (there) field(o.emplace());
+    bool has_value = false;
+    field(has_value);
+    if (has_value) field(o.emplace());
   }
   void field(std::string& s) {
     std::uint64_t size = 0;
@@ -139,13 +142,15 @@
   }
   void field(Resources& r) { fields(r.cpu, r.gpu, r.memory); }
   void field(Quota& q) { fields(q.cpu, q.gpu); }
+  /// Reads the length of a list and calls `read_element(reader, element)` for each element.
   template <class T, class F>
-  void list(std::vector<T>& list, F&& each) {
+  void list(std::vector<T>& list, F&& read_element) {
     std::uint64_t size = 0;
     field(size);
     if (!good_ || size > in_.size() - pos_) return fail();
-    for (std::uint64_t i = 0; i < size && good_; ++i) each(*this, list.emplace_back());
+    for (std::uint64_t i = 0; i < size && good_; ++i) read_element(*this, list.emplace_back());
   }
+  /// Reads an enumerator. Fails for a number above that of `last`.
   template <class E>
   requires std::is_enum_v<E>
   void field(E& e, E last) {
