--- a/src/core/negotiation/initiator.cpp
+++ b/src/core/negotiation/initiator.cpp
@@ -268,7 +268,7 @@
   AwardedTasks award;
   award.job = job.spec.id;
   award.key = records::award_key(best.shard, job.spec.id, shard.next_attempt());
-  award.proposed_at = best.quota_revision;
+  award.proposed_revision = best.quota_revision;
   // The record of the award has to stay below the size of a value in the key-value store.
   const std::size_t most_ranges = state_.context.settings.store_value_bytes / 2 / kRangeBytes;
   TaskSelection selection = select_tasks(job, count, most_ranges);
--- a/src/core/negotiation/quota_transfer.h
+++ b/src/core/negotiation/quota_transfer.h
@@ -1,8 +1,10 @@
-// Moves quota share from a shard led here to another shard, alone or together with an award of tasks.
+// Transfers quota share from a shard led by this controller to another shard, with or without an award of
+// tasks.
 //
-// Each move is one transaction that compares the revisions of both shards' allocation records and the lease
-// record of the giving shard. So no share is ever given twice, the shares of all shards sum to the limit of
-// each team, and an award takes effect if and only if the share that it needs has moved with it.
+// Each transfer is one transaction that compares the revisions of both shards' allocation records and of the
+// sending shard's lease record. It follows that no share is transferred twice, that the shares of all shards
+// sum to the limit of each team, and that an award takes effect if and only if the share that it needs is
+// transferred with it.
 #pragma once
 
 #include <functional>
@@ -18,17 +20,18 @@
 /// Tasks of one job that are awarded to another shard.
 struct AwardedTasks {
   std::string job;
-  std::string key;  ///< of the award record
+  std::string key;  ///< key of the award record
   records::Award record;
   std::vector<std::uint32_t> tasks;
-  Revision proposed_at;  ///< the winner's proposal is valid for this revision of its allocation only
+  /// The winner's proposal is valid only for this revision of its allocation record.
+  Revision proposed_revision;
 };
 
-/// One move of quota share, from its start until its outcome is known.
-struct QuotaMove {
-  std::string from;  ///< the shard led here
+/// A transfer of quota share whose outcome is not known yet.
+struct PendingTransfer {
+  std::string from;  ///< the sending shard, led by this controller
   LeadershipTerm leadership_term = 0;
-  Compare fence;  ///< the lease record of `from` when the move began
+  Compare fence;  ///< compares the lease record of `from` with its revision at the start of the transfer
   std::string to;
   std::string team;
   Quota amount;
@@ -37,40 +40,41 @@
 
 class QuotaTransfer {
  public:
-  /// `invalidate_leases` is called when the outcome of a write suggests that a lease may be lost.
+  /// `invalidate_leases` is called when the outcome of a write suggests that a lease may have been lost.
   QuotaTransfer(ControllerState& state, NegotiationCounters& counters,
                 std::function<void()> invalidate_leases);
 
-  /// Starts to move `amount` of a team's share from `shard` to the shard `to`. The caller has checked that no
-  /// other move of this shard is under way, and that its allocation is current. Awarded tasks must have left
-  /// the waiting ones; they return to them if the move fails.
+  /// Starts the transfer of `amount` of a team's share from `shard` to the shard `to`. The caller must have
+  /// checked that no other transfer from this shard is in progress and that its allocation is current.
+  /// Awarded tasks must already have left the waiting state; they return to it if the transfer fails.
   void start(Shard& shard, const std::string& to, const std::string& team, Quota amount,
              std::optional<AwardedTasks> award);
-  /// A peer lacks share: hands over what no job here needs.
+  /// Handles the request of a peer that lacks quota share: transfers share that no job of this shard needs.
   void on_request(const QuotaTransferRequest& request);
-  /// Reads the allocation of a shard again if another leader has written it.
+  /// Reads the allocation record of a shard again if another leader may have written it.
   void refresh_allocation(Shard& shard);
 
  private:
-  // The steps of a move, in their order.
-  void on_receiver_read(const QuotaMove& move, const StoreResponse& response);
-  void commit(Shard& shard, const QuotaMove& move, const QuotaLedger::Shares& receiver_shares,
+  // The steps of a transfer, in this order.
+  void on_receiver_read(const PendingTransfer& transfer, const StoreResponse& response);
+  void commit(Shard& shard, const PendingTransfer& transfer, const QuotaLedger::Shares& receiver_shares,
               Revision receiver_revision);
-  void on_committed(const QuotaMove& move, const StoreResponse& response);
-  void finish(Shard& shard, const QuotaMove& move, bool applied);
-  static void finish_award(Job& job, const QuotaMove& move, bool applied, Micros now);
+  void on_committed(const PendingTransfer& transfer, const StoreResponse& response);
+  void finish(Shard& shard, const PendingTransfer& transfer, bool applied);
+  static void finish_award(Job& job, const PendingTransfer& transfer, bool applied, Micros now);
 
-  // The steps that find out what became of a write that was not answered.
-  void resolve(Shard& shard, const QuotaMove& move);
-  void resolve_later(const QuotaMove& move);
-  void on_allocation_read(const QuotaMove& move, const StoreResponse& response);
-  void on_allocation_rewritten(const QuotaMove& move, const QuotaLedger::Shares& shares,
+  // The steps that determine the outcome of a write that got no answer.
+  void resolve(Shard& shard, const PendingTransfer& transfer);
+  void resolve_later(const PendingTransfer& transfer);
+  void on_allocation_read(const PendingTransfer& transfer, const StoreResponse& response);
+  void on_allocation_rewritten(const PendingTransfer& transfer, const QuotaLedger::Shares& shares,
                                const StoreResponse& response);
-  void on_award_read(const QuotaMove& move, const QuotaLedger::Shares& shares, const StoreResponse& response);
-  void finish_resolved(const QuotaMove& move, const QuotaLedger::Shares& shares, bool applied);
+  void on_award_read(const PendingTransfer& transfer, const QuotaLedger::Shares& shares,
+                     const StoreResponse& response);
+  void finish_resolved(const PendingTransfer& transfer, const QuotaLedger::Shares& shares, bool applied);
 
-  /// What a shard can give of a team's share without keeping its own jobs from starting.
-  static Quota quota_to_spare(const Shard& shard, const QuotaTransferRequest& request);
+  /// Returns the part of a team's share that a shard can transfer without keeping its own jobs from starting.
+  static Quota transferable_quota(const Shard& shard, const QuotaTransferRequest& request);
 
   ControllerState& state_;
   NegotiationCounters& counters_;
