--- a/src/core/negotiation/initiator.cpp
+++ b/src/core/negotiation/initiator.cpp
@@ -7,14 +7,15 @@
 namespace {
 
 constexpr Micros kProposalTimeout = millis(300);
-constexpr std::size_t kOpenNegotiations = 16;
-constexpr std::size_t kCallsPerTick = 2;
-constexpr std::int64_t kTasksPerAward = 4096;
-constexpr std::size_t kRangeBytes = 16;  ///< of one range of tasks in an award record, at most
-/// Writes of a job's last transaction that do not remove an award, and one award to come.
-constexpr std::size_t kWritesBesidesAwards = 3;
-
-/// Sorts tasks and joins those that follow one another: first task, number of tasks.
+constexpr std::size_t kMaxOpenNegotiations = 16;
+constexpr std::size_t kMaxCallsPerTick = 2;
+constexpr std::int64_t kMaxTasksPerAward = 4096;
+constexpr std::size_t kMaxRangeBytes = 16;  ///< upper bound for one range of tasks in an award record
+/// The writes of a job's final transaction that do not remove an award, plus the removal of one further
+/// award.
+constexpr std::size_t kReservedWrites = 3;
+
+/// Returns the tasks as sorted ranges of consecutive indices: pairs of first task and number of tasks.
 std::vector<std::pair<std::uint32_t, std::uint32_t>> ranges_of(std::vector<std::uint32_t> tasks) {
   std::sort(tasks.begin(), tasks.end());
   std::vector<std::pair<std::uint32_t, std::uint32_t>> ranges;
@@ -27,13 +28,14 @@
   return ranges;
 }
 
-/// What a proposal costs; the lowest one wins.
+/// The cost of a proposal: its start delay in seconds plus its load as a fraction. The lowest score wins.
 double score(const Proposal& proposal) {
   return in_seconds(proposal.start_delay) + static_cast<double>(proposal.load_permille) / 1000.0;
 }
 
-/// Whether shards that have no capacity for one task of `refused` have none for a task of `job` either.
-bool is_refused_with(const Job& job, const Job& refused) {
+/// Whether the shards that refused `refused` would also refuse `job`: its tasks need at least the same
+/// resources under the same rules and at no higher priority.
+bool would_also_be_refused(const Job& job, const Job& refused) {
   const JobSpec& spec = job.spec;
   const JobSpec& other = refused.spec;
   return spec.team == other.team && spec.priority <= other.priority && spec.spot == other.spot &&
@@ -46,14 +48,16 @@
     : state_(state),
       quota_transfer_(quota_transfer),
       counters_(counters),
-      // Random, so that a proposal for a call of an earlier process of this host matches no call of ours.
+      // The first id is random, so that a late proposal for a call of an earlier process of this host does
+      // not match a call of this process.
       next_call_id_(state.context.random() >> 8) {}
 
-/// Awards are made by the owner of a job only, and not if its zone rules need one scheduler to see all of its
-/// tasks. The last write of a job removes all its awards in one transaction, which bounds their number.
+/// Only the shard that owns a job may award its tasks, and only if the job's zone rules do not require a
+/// single scheduler to see all of its tasks. The number of awards of a job is limited because its final write
+/// removes all of them in one transaction.
 bool Initiator::may_be_awarded(const Job& job) const {
   return job.owner.empty() && !job.spec.needs_one_decider() &&
-         job.awards.size() + kWritesBesidesAwards <= state_.context.settings.store_transaction_writes;
+         job.awards.size() + kReservedWrites <= state_.context.settings.store_transaction_writes;
 }
 
 // ---- calls ---------------------------------------------------------------------------------------
@@ -62,14 +66,15 @@
   if (state_.store.busy()) return;
   std::size_t calls = 0;
   for (Job* job : jobs_due_for_call(shard)) {
-    if (calls >= kCallsPerTick || negotiations_.size() >= kOpenNegotiations) return;
+    if (calls >= kMaxCallsPerTick || negotiations_.size() >= kMaxOpenNegotiations) return;
     if (start_call(shard, *job)) ++calls;
   }
 }
 
-/// Those that have waited longest for their turn come first, and among these those that are first in the
-/// queue. In the order of the queue alone, its first few jobs would call again and again; the others would
-/// never get a refusal, without which no machine is rented for them.
+/// Returns the jobs whose next call is due, the earliest due first; jobs due at the same time stay in queue
+/// order. In queue order alone, the first few jobs would call repeatedly and the others never. The others
+/// would then never be refused by the other shards, and no machine is created for a job before it has been
+/// refused.
 std::vector<Job*> Initiator::jobs_due_for_call(Shard& shard) const {
   std::vector<Job*> due;
   for (const QueueEntry& entry : shard.queue)
@@ -80,9 +85,9 @@
   return due;
 }
 
-/// False if there is nothing to call for, or no shard to call.
+/// Returns false, and marks the job as refused, if a call cannot help it or no other shard is reachable.
 bool Initiator::start_call(Shard& shard, Job& job) {
-  // A job that can't be awarded may still lack share, which peers can hand over.
+  // For a job whose tasks can't be awarded, a call still serves to find peers that can transfer quota share.
   if (!may_be_awarded(job) && !job.quota_share_exhausted) {
     job.refused = true;
     return false;
@@ -91,9 +96,9 @@
   Negotiation negotiation;
   negotiation.shard = shard.name;
   negotiation.leadership_term = shard.leadership_term;
-  negotiation.call = call_for(shard, job);
-  negotiation.asked = reachable_shards(shard.name);
-  if (negotiation.asked.empty()) {
+  negotiation.call = make_call(shard, job);
+  negotiation.participants = reachable_shards(shard.name);
+  if (negotiation.participants.empty()) {
     job.refused = true;
     return false;
   }
@@ -107,11 +112,11 @@
         .detail("tasks", negotiation.call.tasks);
   });
   const std::uint64_t id = negotiation.call.id;
-  ask(negotiations_.emplace(id, std::move(negotiation)).first->second);
+  send_call(negotiations_.emplace(id, std::move(negotiation)).first->second);
   return true;
 }
 
-CallForProposals Initiator::call_for(const Shard& shard, const Job& job) {
+CallForProposals Initiator::make_call(const Shard& shard, const Job& job) {
   CallForProposals call;
   call.id = next_call_id_++;
   call.from_shard = shard.name;
@@ -134,20 +139,20 @@
   return shards;
 }
 
-void Initiator::ask(Negotiation& negotiation) {
+void Initiator::send_call(Negotiation& negotiation) {
   ++counters_.rounds;
   negotiation.proposals.clear();
   negotiation.decide_at = state_.now() + kProposalTimeout;
-  for (const std::string& shard : negotiation.asked) state_.send_to_leader_of(shard, negotiation.call);
+  for (const std::string& shard : negotiation.participants) state_.send_to_leader_of(shard, negotiation.call);
 }
 
 void Initiator::on_proposal(const Proposal& proposal) {
   const auto found = negotiations_.find(proposal.id);
   if (found == negotiations_.end()) return;
   Negotiation& negotiation = found->second;
-  if (proposal.round != negotiation.call.round || !negotiation.asked.contains(proposal.shard)) return;
+  if (proposal.round != negotiation.call.round || !negotiation.participants.contains(proposal.shard)) return;
   negotiation.proposals[proposal.shard] = proposal;
-  if (negotiation.proposals.size() == negotiation.asked.size()) negotiation.decide_at = state_.now();
+  if (negotiation.proposals.size() == negotiation.participants.size()) negotiation.decide_at = state_.now();
 }
 
 // ---- decisions -----------------------------------------------------------------------------------
@@ -170,14 +175,15 @@
   if (!job.can_start(state_.now()) || job.unreconciled) return;
 
   const std::vector<Proposal> feasible = feasible_proposals(negotiation, job);
-  if (feasible.empty()) return on_all_refused(*shard, job, negotiation);
-  const bool may_ask_again = static_cast<int>(negotiation.call.round) < state_.context.policy.call_rounds;
-  if (may_ask_again && is_close(feasible)) return start_next_round(std::move(negotiation), job, feasible);
+  if (feasible.empty()) return on_no_feasible_proposal(*shard, job, negotiation);
+  const bool has_rounds_left = static_cast<int>(negotiation.call.round) < state_.context.policy.call_rounds;
+  if (has_rounds_left && are_best_scores_close(feasible))
+    return start_next_round(std::move(negotiation), job, feasible);
   award(*shard, job, feasible.front());
 }
 
-/// The proposals that an award can be based on, the best one first: they take some tasks, and name the
-/// revision of the allocation that they are valid for.
+/// Returns the proposals that an award can be based on, the best one first. A feasible proposal accepts at
+/// least one task, and names the revision of the allocation record that it is valid for.
 std::vector<Proposal> Initiator::feasible_proposals(const Negotiation& negotiation, const Job& job) const {
   std::vector<Proposal> feasible;
   if (!may_be_awarded(job)) return feasible;
@@ -190,8 +196,8 @@
   return feasible;
 }
 
-/// Whether the two best proposals differ by little.
-bool Initiator::is_close(const std::vector<Proposal>& feasible) const {
+/// Whether the scores of the two best proposals differ by at most the fraction `close_bids` of the policy.
+bool Initiator::are_best_scores_close(const std::vector<Proposal>& feasible) const {
   if (feasible.size() < 2) return false;
   const double best = score(feasible[0]);
   const double second = score(feasible[1]);
@@ -205,13 +211,13 @@
   call.disclosed = true;
   call.priority = job.spec.priority;
   call.deadline_in = job.spec.deadline ? std::max(millis(1), job.due() - state_.context.wall) : Micros{0};
-  negotiation.asked.clear();
-  for (const Proposal& proposal : feasible) negotiation.asked.insert(proposal.shard);
+  negotiation.participants.clear();
+  for (const Proposal& proposal : feasible) negotiation.participants.insert(proposal.shard);
   const std::uint64_t id = call.id;
-  ask(negotiations_.emplace(id, std::move(negotiation)).first->second);
+  send_call(negotiations_.emplace(id, std::move(negotiation)).first->second);
 }
 
-void Initiator::on_all_refused(Shard& shard, Job& job, const Negotiation& negotiation) {
+void Initiator::on_no_feasible_proposal(Shard& shard, Job& job, const Negotiation& negotiation) {
   ++counters_.infeasible;
   job.refused = true;
   if (job.quota_share_exhausted)
@@ -220,31 +226,31 @@
     mark_similar_refused(shard, job);
 }
 
-/// No shard can take tasks under its own share, but some have unused share. What each of them has may be less
-/// than one task needs, so the missing share is requested from several.
+/// Requests unused quota share from other shards after none of them could take tasks within its own share.
+/// The unused share of a single shard may be less than one task needs, so the request goes to several shards.
 void Initiator::request_quota(const Shard& shard, const Job& job, const Negotiation& negotiation) {
-  std::vector<const Proposal*> givers;
+  std::vector<const Proposal*> donors;
   for (const auto& [name, proposal] : negotiation.proposals)
-    if (proposal.free_quota_share != Quota{}) givers.push_back(&proposal);
-  std::sort(givers.begin(), givers.end(),
+    if (proposal.free_quota_share != Quota{}) donors.push_back(&proposal);
+  std::sort(donors.begin(), donors.end(),
             [](const Proposal* a, const Proposal* b) { return a->free_quota_share > b->free_quota_share; });
-  const Quota want = quota_of(job.spec.each) * static_cast<std::int64_t>(job.waiting.size());
+  const Quota wanted = quota_of(job.spec.each) * static_cast<std::int64_t>(job.waiting.size());
   Quota expected = shard.quota.free(job.spec.team);
-  for (const Proposal* giver : givers) {
-    if (want.fits_in(expected)) return;
-    state_.send_to_leader_of(giver->shard, QuotaTransferRequest{giver->shard, shard.name, job.spec.team,
-                                                                want - expected, job.accepted});
-    expected += giver->free_quota_share;
+  for (const Proposal* donor : donors) {
+    if (wanted.fits_in(expected)) return;
+    state_.send_to_leader_of(donor->shard, QuotaTransferRequest{donor->shard, shard.name, job.spec.team,
+                                                                wanted - expected, job.accepted});
+    expected += donor->free_quota_share;
   }
 }
 
-/// Jobs that would be refused like this one need not call for proposals one by one.
+/// Marks all jobs that would be refused for the same reason, so that they need no calls of their own.
 void Initiator::mark_similar_refused(Shard& shard, const Job& refused) {
   for (const QueueEntry& entry : shard.queue) {
     Job& job = *entry.job;
     if (&job == &refused || job.overflow == 0 || job.tasks_in_award > 0 || job.quota_share_exhausted)
       continue;
-    if (!is_refused_with(job, refused)) continue;
+    if (!would_also_be_refused(job, refused)) continue;
     job.refused = true;
     job.next_call = std::max(job.next_call, refused.next_call);
   }
@@ -252,14 +258,14 @@
 
 // ---- awards --------------------------------------------------------------------------------------
 
-/// Awards as many tasks as the proposal takes and the winner's share allows, together with the share that it
-/// lacks for them.
+/// Awards as many tasks as the proposal accepts and the quota allows, and transfers the quota share that the
+/// winner lacks for them.
 void Initiator::award(Shard& shard, Job& job, const Proposal& best) {
   if (!shard.quota.is_current()) return;
   const Quota each = quota_of(job.spec.each);
   const Quota spare = shard.quota.spare(job.spec.team);
   const std::int64_t count =
-      std::min<std::int64_t>({best.tasks, static_cast<std::int64_t>(job.waiting.size()), kTasksPerAward,
+      std::min<std::int64_t>({best.tasks, static_cast<std::int64_t>(job.waiting.size()), kMaxTasksPerAward,
                               (best.free_quota_share + spare).holds(each)});
   if (count <= 0) return;
   job.refused = false;
@@ -269,17 +275,19 @@
   award.job = job.spec.id;
   award.key = records::award_key(best.shard, job.spec.id, shard.next_attempt());
   award.proposed_revision = best.quota_revision;
-  // The record of the award has to stay below the size of a value in the key-value store.
-  const std::size_t most_ranges = state_.context.settings.store_value_bytes / 2 / kRangeBytes;
-  TaskSelection selection = select_tasks(job, count, most_ranges);
+  // The award record must not exceed the maximum size of a value in the key-value store. The ranges may take
+  // half of it.
+  const std::size_t max_ranges = state_.context.settings.store_value_bytes / 2 / kMaxRangeBytes;
+  TaskSelection selection = select_tasks(job, count, max_ranges);
   award.tasks = std::move(selection.tasks);
   award.record = {shard.name, std::move(selection.ranges), {shard.name, job.spec, job.accepted}};
   job.tasks_in_award += static_cast<std::uint32_t>(award.tasks.size());
   quota_transfer_.start(shard, best.shard, job.spec.team, lacking, std::move(award));
 }
 
-/// Takes up to `count` tasks out of the waiting ones: fewer if they form more ranges than are allowed.
-Initiator::TaskSelection Initiator::select_tasks(Job& job, std::int64_t count, std::size_t most_ranges) {
+/// Selects up to `count` waiting tasks, which leave the waiting state. Selects fewer if they would form more
+/// than `max_ranges` ranges.
+Initiator::TaskSelection Initiator::select_tasks(Job& job, std::int64_t count, std::size_t max_ranges) {
   TaskSelection selection;
   for (std::int64_t i = 0; i < count; ++i) {
     const std::uint32_t task = job.waiting.back();
@@ -287,7 +295,7 @@
     job.leave_waiting(task, {Task::State::elsewhere, nullptr, 0});
   }
   selection.ranges = ranges_of(selection.tasks);
-  while (selection.ranges.size() > most_ranges) {
+  while (selection.ranges.size() > max_ranges) {
     const auto [first, length] = selection.ranges.back();
     for (std::uint32_t task = first; task < first + length; ++task) {
       std::erase(selection.tasks, task);
