--- a/src/core/negotiation/award_reader.cpp
+++ b/src/core/negotiation/award_reader.cpp
@@ -7,14 +7,14 @@
 
 namespace {
 
-constexpr Micros kReadEvery = seconds(2);
-/// Progress notices that come close together lead to one read.
-constexpr Micros kReadAfterNotice = millis(150);
+constexpr Micros kReadInterval = seconds(2);
+/// Delays the read after a progress notice, so that notices in quick succession lead to a single read.
+constexpr Micros kNoticeReadDelay = millis(150);
 
-bool is_awarded_by_us(const Job& job) { return !job.awards.empty() && job.owner.empty(); }
+bool has_outgoing_awards(const Job& job) { return !job.awards.empty() && job.owner.empty(); }
 
-/// The tasks of an award that `job` has.
-std::vector<std::uint32_t> tasks_of(const records::Award& award, const Job& job) {
+/// Returns the indices of the awarded tasks; indices that `job` does not have are left out.
+std::vector<std::uint32_t> awarded_tasks(const records::Award& award, const Job& job) {
   std::vector<std::uint32_t> tasks;
   for (const auto& [first, count] : award.ranges)
     for (std::uint32_t task = first; task < first + count && task < job.tasks.size(); ++task)
@@ -22,8 +22,8 @@
   return tasks;
 }
 
-/// A job of another shard, none of whose tasks is here yet.
-Job job_of_award(const records::Award& award) {
+/// Returns the job of an award, owned by another shard, with none of its tasks assigned to this shard yet.
+Job make_awarded_job(const records::Award& award) {
   Job job;
   job.spec = award.job.spec;
   job.accepted = award.job.accepted;
@@ -33,7 +33,8 @@
   return job;
 }
 
-/// Marks those tasks of a chunk as done that are recorded as done and not known here to be.
+/// Marks as done the tasks that the chunk records as done. Tasks placed in this shard are left alone, as
+/// their results arrive from the workers; waiting tasks are marked only while the shard is being loaded.
 void apply_done_bits(Job& job, const records::DoneBits& done, ProgressRead read) {
   const std::size_t first = std::size_t{done.chunk} * records::kChunk;
   for (std::size_t i = 0; i < done.bits.size() && first + i < job.tasks.size(); ++i) {
@@ -45,11 +46,11 @@
   }
 }
 
-/// A record of finished tasks that the shard wrote itself.
+/// Applies a record of finished tasks that an earlier leader of this shard wrote.
 void load_own_progress(Shard& shard, DoneSlot& slot, const std::vector<records::DoneBits>& chunks) {
   for (const records::DoneBits& chunk : chunks) {
     const auto job = shard.jobs.find(chunk.job);
-    // A job that is gone is left out when the record is written next.
+    // The next write of the record leaves out jobs that no longer exist.
     if (job == shard.jobs.end()) continue;
     if (slot.chunks.insert({chunk.job, chunk.chunk}).second)
       slot.bytes += records::done_bytes(chunk.job, chunk.bits.size());
@@ -57,7 +58,7 @@
   }
 }
 
-/// A record of finished tasks that another shard wrote.
+/// Applies a record of finished tasks that another shard wrote.
 void load_progress_of_peer(Shard& shard, const std::vector<records::DoneBits>& chunks, ProgressRead read) {
   for (const records::DoneBits& chunk : chunks) {
     const auto job = shard.jobs.find(chunk.job);
@@ -70,7 +71,7 @@
 void AwardReader::refresh(Shard& shard) {
   if (shard.award_read.due(state_.now())) read_awards(shard);
   const bool has_awarded = std::any_of(shard.jobs.begin(), shard.jobs.end(),
-                                       [](const auto& entry) { return is_awarded_by_us(entry.second); });
+                                       [](const auto& entry) { return has_outgoing_awards(entry.second); });
   if (has_awarded && shard.progress_read.due(state_.now())) read_progress(shard);
 }
 
@@ -83,60 +84,60 @@
 
 void AwardReader::on_progress_notice(const std::string& name) {
   if (Shard* shard = state_.ready_shard(name))
-    shard->progress_read.bring_forward(state_.now() + kReadAfterNotice);
+    shard->progress_read.bring_forward(state_.now() + kNoticeReadDelay);
 }
 
 // ---- awards --------------------------------------------------------------------------------------
 
 void AwardReader::read_awards(Shard& shard) {
   shard.award_read.begin();
-  shard.award_read.schedule(state_.now() + kReadEvery);
+  shard.award_read.schedule(state_.now() + kReadInterval);
   state_.store.list(records::award_prefix(shard.name),
                     [this, name = shard.name, leadership_term = shard.leadership_term,
-                     asked = state_.now()](const StoreResponse& response) {
+                     requested_at = state_.now()](const StoreResponse& response) {
                       if (Shard* read_shard = state_.shard_in_term(name, leadership_term))
-                        on_awards_read(*read_shard, response, asked);
+                        on_awards_read(*read_shard, response, requested_at);
                     });
 }
 
-void AwardReader::on_awards_read(Shard& shard, const StoreResponse& response, Micros asked) {
+void AwardReader::on_awards_read(Shard& shard, const StoreResponse& response, Micros requested_at) {
   shard.award_read.end();
   if (!response.ok()) return;
-  shard.award_freshness.confirm(asked, state_.context.settings.lease_term());
+  shard.award_freshness.confirm(requested_at, state_.context.settings.lease_term());
   shard.changed();
-  load_awards(shard, response.entries, asked);
+  load_awards(shard, response.entries, requested_at);
   std::set<std::string> current;
   for (const KeyValue& entry : response.entries) current.insert(entry.key);
   for (auto& [id, job] : shard.jobs) {
     if (job.owner.empty()) continue;
     const bool still_awarded = std::any_of(job.awards.begin(), job.awards.end(),
                                            [&](const auto& award) { return current.contains(award.first); });
-    // Awards are removed when their job is done or cancelled.
+    // The owner removes the awards of a job once the job is done or cancelled.
     if (!still_awarded) shard.end(job);
   }
 }
 
-void AwardReader::load_awards(Shard& shard, const std::vector<KeyValue>& entries, Micros asked) {
+void AwardReader::load_awards(Shard& shard, const std::vector<KeyValue>& entries, Micros requested_at) {
   for (const KeyValue& entry : entries) {
     const std::vector<std::string> key = records::split_key(entry.key);
     const auto award = records::award(entry.value);
     if (key.size() != 4 || !award) continue;
     const std::string& winner = key[1];
     if (winner == shard.name)
-      load_award_to_us(shard, entry.key, *award, asked);
+      load_incoming_award(shard, entry.key, *award, requested_at);
     else if (award->owner == shard.name)
-      load_award_by_us(shard, entry.key, winner, *award);
+      load_outgoing_award(shard, entry.key, winner, *award);
   }
 }
 
-void AwardReader::load_award_to_us(Shard& shard, const std::string& key, const records::Award& award,
-                                   Micros asked) {
-  // The job may have ended since the records were asked for.
+void AwardReader::load_incoming_award(Shard& shard, const std::string& key, const records::Award& award,
+                                      Micros requested_at) {
+  // The job may have ended since the read was requested.
   const std::string& id = award.job.spec.id;
-  if (!state_.may_act_on(shard, id, asked)) return;
+  if (!state_.may_act_on(shard, id, requested_at)) return;
   auto found = shard.jobs.find(id);
   if (found == shard.jobs.end()) {
-    Job awarded = job_of_award(award);
+    Job awarded = make_awarded_job(award);
     awarded.unreconciled = !shard.ready();
     shard.has_unreconciled_jobs |= awarded.unreconciled;
     found = shard.jobs.emplace(id, std::move(awarded)).first;
@@ -144,17 +145,17 @@
   Job& job = found->second;
   if (job.owner.empty() || !job.awards.emplace(key, shard.name).second) return;
   shard.changed();
-  for (const std::uint32_t task : tasks_of(award, job))
+  for (const std::uint32_t task : awarded_tasks(award, job))
     if (job.tasks[task].state == Task::State::elsewhere) job.set_waiting(task);
 }
 
-void AwardReader::load_award_by_us(Shard& shard, const std::string& key, const std::string& winner,
-                                   const records::Award& award) {
+void AwardReader::load_outgoing_award(Shard& shard, const std::string& key, const std::string& winner,
+                                      const records::Award& award) {
   const auto found = shard.jobs.find(award.job.spec.id);
   if (found == shard.jobs.end()) return;
   Job& job = found->second;
   if (!job.awards.emplace(key, winner).second) return;
-  for (const std::uint32_t task : tasks_of(award, job))
+  for (const std::uint32_t task : awarded_tasks(award, job))
     if (job.tasks[task].state == Task::State::waiting)
       job.leave_waiting(task, {Task::State::elsewhere, nullptr, 0});
 }
@@ -167,14 +168,14 @@
       continue;
     shard.change(machine, id, placement, [](Placement& changed) { changed.wanted = false; });
     state_.context.debug([&shard, &machine, &attempt = id] {
-      return LogMessage("task not wanted any more")
+      return LogMessage("task stop requested")
           .shard(shard.name)
           .token(shard.fencing_token)
           .job(attempt.task.job)
           .task(attempt.task.index)
           .attempt(attempt.attempt)
           .machine(machine.name)
-          .why("its award was last read too long ago");
+          .why("award records not read within the lease term");
     });
     shard.request_push(machine);
   }
@@ -184,7 +185,7 @@
 
 void AwardReader::read_progress(Shard& shard) {
   shard.progress_read.begin();
-  shard.progress_read.schedule(state_.now() + kReadEvery);
+  shard.progress_read.schedule(state_.now() + kReadInterval);
   state_.store.list(records::kDonePrefix, [this, name = shard.name, leadership_term = shard.leadership_term](
                                               const StoreResponse& response) {
     Shard* read_shard = state_.shard_in_term(name, leadership_term);
