--- a/src/core/negotiation/participant.cpp
+++ b/src/core/negotiation/participant.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-/// Thousandths of the cpu of all machines of a shard that are used.
+/// The used portion of the CPUs of all machines of the shard, in thousandths.
 std::uint32_t load_permille(const Shard& shard) {
-  std::int64_t size = 1;  // never zero, so that an empty shard has no load
+  std::int64_t size = 1;  // avoids a division by zero: a shard without machines has load 0
   std::int64_t used = 0;
   for (const auto& [name, machine] : shard.machines) {
     size += machine.size.cpu;
@@ -32,7 +32,7 @@
   proposal.round = call.round;
   proposal.shard = shard.name;
   if (!shard.ready() || !shard.quota.is_current() || !shard.quota.has_share_of(call.team))
-    return proposal;  // a refusal
+    return proposal;  // zero tasks: a refusal
   scheduler_.pass(shard);
   const Scheduler::Offer offer = scheduler_.offer(shard, call);
   proposal.tasks = offer.tasks;
--- a/src/core/negotiation/participant.h
+++ b/src/core/negotiation/participant.h
@@ -1,4 +1,4 @@
-// The participant of the contract net: answers the calls for proposals of other shards.
+// The participant of the contract net: answers calls for proposals from other shards.
 #pragma once
 
 #include "core/placement/scheduler.h"
@@ -9,8 +9,8 @@
  public:
   Participant(ControllerState& state, Scheduler& scheduler) : state_(state), scheduler_(scheduler) {}
 
-  /// Sends one proposal for each shard led here but the one that calls. A proposal is not binding: the award
-  /// is conditional on the revision of the allocation that the proposal names.
+  /// Sends one proposal for each shard led by this controller, except the calling shard. A proposal is not
+  /// binding: the award is conditional on the revision of the allocation record that the proposal names.
   void on_call(const CallForProposals& call);
 
  private:
