--- a/src/core/negotiation/contract_net.h
+++ b/src/core/negotiation/contract_net.h
@@ -1,9 +1,9 @@
-// The contract net between the shards: a bounded number of rounds in which the leader of a shard that has no
-// capacity for tasks finds another shard for them, or gets quota share from it.
+// The contract net protocol between shards. In a bounded number of rounds, the leader of a shard that lacks
+// capacity for tasks finds another shard that takes them, or obtains quota share from other shards.
 //
-// Messages are hints. What counts is one conditional write for each award: it
-// compares the revisions of both shards' allocation records and moves tasks and quota share together, so that
-// the same capacity is awarded once.
+// Messages between leaders are only hints and may be lost or late. An award takes effect by one conditional
+// write to the key-value store, which compares the revisions of both shards' allocation records and moves the
+// tasks and the quota share together. The same capacity is therefore never awarded twice.
 #pragma once
 
 #include "core/negotiation/award_reader.h"
@@ -12,12 +12,12 @@
 
 namespace bendtide {
 
-/// The contract net as the controller uses it. One job each: Initiator, Participant, QuotaTransfer and
-/// AwardReader.
+/// The interface of the contract net to the controller. Delegates to Initiator, Participant, QuotaTransfer
+/// and AwardReader, one for each duty.
 class ContractNet {
  public:
   struct Hooks {
-    /// The outcome of a write suggests that a lease may be lost.
+    /// Called when the outcome of a write suggests that a lease may have been lost.
     std::function<void()> invalidate_leases;
   };
   ContractNet(ControllerState& state, Scheduler& scheduler, Hooks hooks);
@@ -31,13 +31,13 @@
   void on_progress_notice(const std::string& shard) { award_reader_.on_progress_notice(shard); }
   void on_job_end_notice(const JobEndNotice& notice) { state_.record_job_end(notice.job, std::nullopt); }
 
-  /// Stops the tasks on a machine whose award may have been removed. To be called before each response to a
-  /// worker: a response renews the worker's lease, so it has to carry the stop commands.
+  /// Requests the stop of tasks on the machine whose award may have been removed. Must be called before each
+  /// response to a worker: a response renews the worker's lease, so it has to carry the stop commands.
   void stop_stale_awards(Shard& shard, Machine& machine) { award_reader_.stop_stale_awards(shard, machine); }
-  /// Applies award records to a shard that is being loaded. `asked`: when they were asked for, on the steady
-  /// clock.
-  void load_awards(Shard& shard, const std::vector<KeyValue>& entries, Micros asked) {
-    award_reader_.load_awards(shard, entries, asked);
+  /// Applies award records to a shard that is being loaded. `requested_at`: when the read was requested
+  /// (steady clock).
+  void load_awards(Shard& shard, const std::vector<KeyValue>& entries, Micros requested_at) {
+    award_reader_.load_awards(shard, entries, requested_at);
   }
   /// Applies records of finished tasks to a shard that is being loaded.
   static void load_progress(Shard& shard, const std::vector<KeyValue>& entries) {
@@ -45,7 +45,7 @@
   }
 
   const NegotiationCounters& counters() const { return counters_; }
-  /// Calls for proposals that are not decided yet.
+  /// The number of calls for proposals that are not decided yet.
   std::size_t open_calls() const { return initiator_.open_calls(); }
 
  private:
