--- a/src/core/placement/guarantee.cpp
+++ b/src/core/placement/guarantee.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-std::int64_t scaled(std::int64_t guarantee, std::int64_t share, std::int64_t limit) {
+std::int64_t prorated(std::int64_t guarantee, std::int64_t share, std::int64_t limit) {
   if (limit == 0) return 0;
   return static_cast<std::int64_t>(static_cast<double>(guarantee) * static_cast<double>(share) /
                                    static_cast<double>(limit));
@@ -16,11 +16,11 @@
   const Team* team = settings.team(team_name);
   if (team == nullptr) return {};
   const Quota share = shard.quota_share(team_name);
-  return {scaled(team->guarantee.cpu, share.cpu, team->limit.cpu),
-          scaled(team->guarantee.gpu, share.gpu, team->limit.gpu)};
+  return {prorated(team->guarantee.cpu, share.cpu, team->limit.cpu),
+          prorated(team->guarantee.gpu, share.gpu, team->limit.gpu)};
 }
 
-Micros guarantee_within(const Settings& settings) {
+Micros shortest_guarantee_objective(const Settings& settings) {
   Micros shortest{0};
   for (const Objective& objective : settings.objectives) {
     if (objective.kind != Objective::Kind::guarantee) continue;
--- a/src/core/placement/guarantee.h
+++ b/src/core/placement/guarantee.h
@@ -1,4 +1,4 @@
-// Teams' guarantees, as far as they concern one shard.
+// The part of each team's guaranteed quota that applies in one shard.
 #pragma once
 
 #include <string>
@@ -8,12 +8,12 @@
 
 namespace bendtide {
 
-/// The portion of a team's guarantee that falls to a shard: the guarantee times the shard's share of the
-/// team's limit, rounded down. Nothing for a team that is not in the settings.
+/// Returns the part of a team's guarantee that applies in a shard: the guarantee times the shard's share of
+/// the team's limit divided by that limit, rounded down. Zero for a team that is not in the settings.
 Quota guarantee_of(const Settings& settings, const Shard& shard, const std::string& team_name);
 
-/// The time within which work inside a guarantee has to start: the shortest of the settings' objectives of
-/// that kind, or zero if there is none.
-Micros guarantee_within(const Settings& settings);
+/// Returns the time within which tasks inside a team's guarantee must start: the shortest guarantee objective
+/// in the settings, or zero if there is none.
+Micros shortest_guarantee_objective(const Settings& settings);
 
 }  // namespace bendtide
--- a/src/core/placement/preemption.cpp
+++ b/src/core/placement/preemption.cpp
@@ -132,7 +132,7 @@
       over_guarantee_.insert(team);
   }
   if (over_guarantee_.empty()) return;
-  const Micros in_time = state_.now() + guarantee_within(settings);
+  const Micros in_time = state_.now() + shortest_guarantee_objective(settings);
   for (const FreeCapacity& capacity : capacities_) {
     const Machine& machine = *capacity.machine;
     released_cpu_ += (machine.released_by(in_time) - machine.being_released).cpu;
