--- a/src/core/placement/placer.cpp
+++ b/src/core/placement/placer.cpp
@@ -6,8 +6,9 @@
 
 namespace {
 
-/// The fetch of an image is short if the task runs more than this many times longer.
-constexpr int kShortFetch = 10;
+/// The fetch of an image counts as short if the estimated run time of the task is more than this many times
+/// longer.
+constexpr int kShortFetchRatio = 10;
 
 bool has_attempt_of(const Machine& machine, const TaskId& task) {
   const auto attempt = machine.tasks.lower_bound(AttemptId{task, 0});
@@ -35,30 +36,37 @@
   if (spec.one_zone && !tasks_per_zone.empty() && !tasks_per_zone.contains(machine.zone)) return false;
   if (!spec.spread) return true;
   const auto in_zone = tasks_per_zone.find(machine.zone);
-  const std::int64_t half = (static_cast<std::int64_t>(spec.tasks) + 1) / 2;
-  return in_zone == tasks_per_zone.end() || in_zone->second < half;
+  const std::int64_t max_per_zone = (static_cast<std::int64_t>(spec.tasks) + 1) / 2;
+  return in_zone == tasks_per_zone.end() || in_zone->second < max_per_zone;
 }
 
-/// How well a machine suits a job; the greater the better, the fields compared in this order.
+/// How well a machine suits a job. Greater is better; the fields are compared in the order of their
+/// declaration.
 struct Placer::Preference {
-  bool image_ready;   ///< the image is cached, or its fetch is short beside the run
-  bool near;          ///< for services: in our zone, as they keep running there when other zones are cut off
-  bool same_shape;    ///< services keep a machine for long: they share machines with services only
-  bool spot_if_able;  ///< on-demand machines are left to the jobs that need them
-  std::int64_t fit;   ///< the fullest, so that others run empty and are returned; but where the image has to
-                      ///< be fetched anyway, the one with most free CPUs
+  /// The image is cached, or its fetch is short compared with the run time.
+  bool image_ready;
+  /// The machine is in this controller's zone. Matters for services only: there they keep running while other
+  /// zones are unreachable.
+  bool in_local_zone;
+  /// Services share machines with services only, because they occupy a machine for a long time.
+  bool shares_with_same_shape;
+  /// A spot machine for a job that allows it: on-demand machines are left to the jobs that need them.
+  bool uses_spot;
+  /// The fullest machine, so that other machines become empty and can be returned. If the image has to be
+  /// fetched anyway, the machine with the most free CPUs instead.
+  std::int64_t fit;
   auto operator<=>(const Preference&) const = default;
 };
 
 Placer::Preference Placer::preference(const Job& job, const FreeCapacity& capacity) const {
   const Machine& machine = *capacity.machine;
   const bool service = job.spec.shape == Shape::service;
-  const bool short_fetch = state_.fetch_time(job.spec, machine.type) * kShortFetch < job.spec.estimate;
+  const bool short_fetch = state_.fetch_time(job.spec, machine.type) * kShortFetchRatio < job.spec.estimate;
   const bool image_ready = short_fetch || machine.images.contains(job.spec.image);
   return {.image_ready = image_ready,
-          .near = !service || machine.zone == state_.context.settings.zone,
-          .same_shape = (machine.services > 0) == service,
-          .spot_if_able = machine.spot && job.spec.spot,
+          .in_local_zone = !service || machine.zone == state_.context.settings.zone,
+          .shares_with_same_shape = (machine.services > 0) == service,
+          .uses_spot = machine.spot && job.spec.spot,
           .fit = image_ready || service ? -capacity.free.cpu : capacity.free.cpu};
 }
 
@@ -70,7 +78,7 @@
   return !job.only_where_cached || machine.images.contains(job.spec.image);
 }
 
-bool Placer::justifies_machine(const Shard& shard, const Job& job, const Machine& machine) const {
+bool Placer::may_occupy(const Shard& shard, const Job& job, const Machine& machine) const {
   const Settings& settings = state_.context.settings;
   if (machine.spot || !job.begun() || !settings.best_effort(job.spec)) return true;
   return std::any_of(machine.tasks.begin(), machine.tasks.end(), [&](const auto& task) {
@@ -98,16 +106,16 @@
     return message;
   });
   machine.idle_since = state_.now();
-  // Tasks waiting for the same image share its fetch: it counts as cached from now on.
+  // Tasks that wait for the same image share one fetch, so the image counts as cached from now on.
   machine.images.record_use(job.spec.image, job.spec.image_gb, state_.now());
   shard.request_push(machine);
 }
 
 void Placer::place_on(Shard& shard, Job& job, FreeCapacity& capacity, TasksPerZone& tasks_per_zone) {
   Machine& machine = *capacity.machine;
-  if (!justifies_machine(shard, job, machine)) return;
+  if (!may_occupy(shard, job, machine)) return;
   const Quota each = quota_of(job.spec.each);
-  const bool one_at_a_time = job.suspect();
+  const bool single_attempt = job.suspect();
   while (!job.waiting.empty() && job.spec.each.fits_in(capacity.free) &&
          is_allowed_on(job, machine, tasks_per_zone)) {
     if (!each.fits_in(shard.free_quota_share(job.spec.team))) {
@@ -115,12 +123,12 @@
       return;
     }
     const std::uint32_t index = job.waiting.back();
-    // A worker runs one attempt of a task at a time, and the earlier one may not be over.
+    // A worker runs one attempt of a task at a time, and the previous attempt may not have ended yet.
     if (has_attempt_of(machine, {job.spec.id, index})) return;
     place_task(shard, job, index, machine);
     capacity.free -= job.spec.each;
     if (job.spec.needs_one_decider()) ++tasks_per_zone[machine.zone];
-    if (one_at_a_time) return;
+    if (single_attempt) return;
   }
 }
 
--- a/src/core/placement/placer.h
+++ b/src/core/placement/placer.h
@@ -1,4 +1,4 @@
-// Bin packing: which tasks of a job go on which machines of its shard.
+// Bin packing: decides on which machines of a shard the tasks of a job are placed.
 #pragma once
 
 #include <cstdint>
@@ -10,33 +10,34 @@
 
 namespace bendtide {
 
-/// What a usable machine has free during one pass.
+/// The free resources of a usable machine during one scheduling pass.
 struct FreeCapacity {
   Machine* machine = nullptr;
   Resources free;
-  /// Of tasks that were already told to stop, as far as it is not reserved for another job of this pass.
+  /// Resources of tasks that have been told to stop, without those reserved for other jobs in this pass.
   Resources being_released;
 };
 
-/// How many tasks of one job are in each zone, or may be. Only counted for jobs with rules on zones.
+/// The number of tasks of one job that are, or may be, running in each zone. Empty for jobs without zone
+/// rules.
 using TasksPerZone = std::map<std::string, std::int64_t>;
 TasksPerZone tasks_per_zone_of(const Shard& shard, const Job& job);
 
-/// Whether the rules of the job (spot, zones, machine types) allow a further task of it on the machine.
+/// Whether the rules of the job (spot, zones, machine types) allow another of its tasks on the machine.
 bool is_allowed_on(const Job& job, const Machine& machine, const TasksPerZone& tasks_per_zone);
 
 class Placer {
  public:
   Placer(ControllerState& state, const Fleet& fleet) : state_(state), fleet_(fleet) {}
 
-  /// Of all machines on which tasks may be started.
+  /// Returns the free capacity of each machine on which tasks may be started.
   std::vector<FreeCapacity> free_capacities(Shard& shard) const;
 
-  /// Places as many waiting tasks of a job as fit on one machine and into the quota share of its team. Sets
-  /// the job's `quota_share_exhausted` if the share was the limit.
+  /// Places as many waiting tasks of a job as fit on the machine and into the quota share of its team. Sets
+  /// the job's `quota_share_exhausted` if the share was the limiting factor.
   void place_on(Shard& shard, Job& job, FreeCapacity& capacity, TasksPerZone& tasks_per_zone);
 
-  /// Places as many waiting tasks of a job as fit on all of these machines, the most suitable first.
+  /// Places as many waiting tasks of a job as fit on these machines, the most suitable machine first.
   void place_on_best(Shard& shard, Job& job, std::vector<FreeCapacity>& capacities,
                      TasksPerZone& tasks_per_zone);
 
@@ -45,9 +46,9 @@
   Preference preference(const Job& job, const FreeCapacity& capacity) const;
   bool is_candidate(const Shard& shard, const Job& job, const FreeCapacity& capacity,
                     const TasksPerZone& tasks_per_zone) const;
-  /// Best-effort work does not begin on an on-demand machine that nothing else needs: it would keep it from
-  /// being returned.
-  bool justifies_machine(const Shard& shard, const Job& job, const Machine& machine) const;
+  /// False if only best-effort tasks would keep the machine from being returned: once a best-effort job has
+  /// begun, it places no tasks on an on-demand machine that runs nothing but best-effort tasks.
+  bool may_occupy(const Shard& shard, const Job& job, const Machine& machine) const;
   void place_task(Shard& shard, Job& job, std::uint32_t index, Machine& machine);
 
   ControllerState& state_;
