--- a/src/core/placement/preemption.cpp
+++ b/src/core/placement/preemption.cpp
@@ -9,33 +9,34 @@
 
 namespace {
 
-constexpr std::int64_t kStopsPerJob = 32;  ///< tasks for which capacity is sought in one pass
-constexpr int kJobsPerPass = 4;            ///< jobs for which tasks may be stopped in one pass
-/// A task that saves little or nothing is gone this long after the decision to stop it.
-constexpr Micros kQuickStop = seconds(4);
+constexpr std::int64_t kMaxStopsPerJob = 32;  ///< tasks of one job that a pass seeks capacity for
+constexpr int kMaxJobsPerPass = 4;            ///< jobs that a pass may stop tasks for
+/// The time from the decision to stop a task until it has ended, for a task that saves little or no state.
+constexpr Micros kQuickStopTime = seconds(4);
 
 bool can_be_stopped(const Placement& placement) { return placement.wanted && placement.takes_resources(); }
 
-/// Preemption for one job of the queue.
+/// Preemption on behalf of one job in the queue.
 class JobPreemption {
  public:
-  /// `needed`: tasks that need capacity; `within_guarantee`: those of them for which the team's guarantee
-  /// allows to stop tasks of other teams.
+  /// `needed`: the number of tasks that need capacity. `within_guarantee`: the number of these for which the
+  /// team's guarantee permits stopping tasks of other teams.
   JobPreemption(ControllerState& state, Shard& shard, const Job& job, std::int64_t needed,
                 std::int64_t within_guarantee)
       : state_(state), shard_(shard), job_(job), needed_(needed), within_guarantee_(within_guarantee) {}
 
-  bool satisfied() const { return needed_ <= 0; }
+  bool is_satisfied() const { return needed_ <= 0; }
 
-  /// Reserves what is being released on a machine, and stops tasks there as long as more is needed.
+  /// Reserves the capacity that is free or being released on a machine, and stops tasks there while the job
+  /// needs more.
   void preempt_on(FreeCapacity& capacity) {
     reserve(capacity);
     const std::vector<Candidate> candidates = candidates_on(*capacity.machine);
-    Resources reachable = capacity.free + capacity.being_released;
-    for (const Candidate& candidate : candidates) reachable += candidate.placement->each;
-    if (!job_.spec.each.fits_in(reachable)) return;
+    Resources obtainable = capacity.free + capacity.being_released;
+    for (const Candidate& candidate : candidates) obtainable += candidate.placement->each;
+    if (!job_.spec.each.fits_in(obtainable)) return;
     for (const Candidate& candidate : candidates) {
-      if (satisfied()) return;
+      if (is_satisfied()) return;
       if (!may_stop(*candidate.job)) continue;
       stop(*capacity.machine, candidate);
       capacity.being_released += candidate.placement->each;
@@ -51,14 +52,15 @@
   };
 
   void reserve(FreeCapacity& capacity) {
-    while (!satisfied() && job_.spec.each.fits_in(capacity.free + capacity.being_released)) {
+    while (!is_satisfied() && job_.spec.each.fits_in(capacity.free + capacity.being_released)) {
       capacity.being_released -= job_.spec.each;
       --needed_;
       --within_guarantee_;
     }
   }
 
-  /// The lowest priority first, and of equal ones the youngest, as it loses least.
+  /// Returns the tasks that may be stopped, the lowest priority first. At equal priority, the task placed
+  /// last comes first because it loses the least work.
   std::vector<Candidate> candidates_on(Machine& machine) {
     std::vector<Candidate> candidates;
     for (auto& [id, placement] : machine.tasks) {
@@ -75,11 +77,11 @@
   }
 
   bool may_stop(const Job& other) const {
-    // In a quota share that is used up only tasks of the same team can be replaced.
+    // If the quota share is exhausted, only stopping tasks of the same team frees quota for the job.
     if (job_.quota_share_exhausted && other.spec.team != job_.spec.team) return false;
     if (other.spec.priority < job_.spec.priority) return true;
-    // For a guarantee, tasks of equal priority are stopped only where no machine is to be had, and tasks of
-    // higher priority never: a service would be down for an array.
+    // To satisfy a guarantee, tasks of equal priority are stopped only if the cloud offers no machine. Tasks
+    // of higher priority are never stopped for it: an array must not take down a service.
     if (other.spec.priority > job_.spec.priority || other.spec.team == job_.spec.team) return false;
     if (!job_.no_offering || within_guarantee_ <= 0) return false;
     return is_over_guarantee(other.spec.team);
@@ -98,7 +100,7 @@
     state_.context.debug([&] {
       const TaskId& task = candidate.id->task;
       const bool by_priority = candidate.job->spec.priority < job_.spec.priority;
-      return LogMessage("preempt")
+      return LogMessage("task preempted")
           .shard(shard_.name)
           .token(shard_.fencing_token)
           .job(task.job)
@@ -106,7 +108,8 @@
           .attempt(candidate.id->attempt)
           .machine(machine.name)
           .detail("for", job_.spec.id)
-          .why(by_priority ? "higher priority" : "guarantee");
+          .why(by_priority ? "needed by a job of higher priority"
+                           : "needed for the guarantee of another team");
     });
     stopped_[candidate.job->spec.team] += quota_of(candidate.placement->each);
   }
@@ -116,48 +119,48 @@
   const Job& job_;
   std::int64_t needed_;
   std::int64_t within_guarantee_;
-  std::map<std::string, Quota> stopped_;  ///< usage of the tasks stopped for this job, by team
+  std::map<std::string, Quota> stopped_;  ///< quota used by the tasks stopped for this job, by team
 };
 
 }  // namespace
 
 PreemptionPass::PreemptionPass(ControllerState& state, Shard& shard, std::vector<FreeCapacity> capacities)
-    : state_(state), shard_(shard), capacities_(std::move(capacities)), jobs_left_(kJobsPerPass) {
+    : state_(state), shard_(shard), capacities_(std::move(capacities)), remaining_jobs_(kMaxJobsPerPass) {
   const Settings& settings = state_.context.settings;
   for (const auto& [id, job] : shard.jobs) {
     if (job.present == 0) continue;
-    lowest_ = std::min(lowest_, job.spec.priority);
+    lowest_priority_ = std::min(lowest_priority_, job.spec.priority);
     const std::string& team = job.spec.team;
     if (!over_guarantee_.contains(team) && !shard.used(team).fits_in(guarantee_of(settings, shard, team)))
       over_guarantee_.insert(team);
   }
   if (over_guarantee_.empty()) return;
-  const Micros in_time = state_.now() + shortest_guarantee_objective(settings);
+  const Micros release_by = state_.now() + shortest_guarantee_objective(settings);
   for (const FreeCapacity& capacity : capacities_) {
     const Machine& machine = *capacity.machine;
-    released_cpu_ += (machine.released_by(in_time) - machine.being_released).cpu;
+    released_cpu_ += (machine.released_by(release_by) - machine.being_released).cpu;
   }
 }
 
 bool PreemptionPass::may_preempt_for(const Job& job) const {
-  if (jobs_left_ <= 0) return false;
-  if (lowest_ < job.spec.priority) return true;
+  if (remaining_jobs_ <= 0) return false;
+  if (lowest_priority_ < job.spec.priority) return true;
   const std::size_t own_team = over_guarantee_.contains(job.spec.team) ? 1 : 0;
   return job.no_offering && over_guarantee_.size() > own_team;
 }
 
 bool PreemptionPass::starts_sooner_where_cached(const Job& job, const TasksPerZone& tasks_per_zone) const {
-  if (jobs_left_ <= 0 || lowest_ >= job.spec.priority) return false;
+  if (remaining_jobs_ <= 0 || lowest_priority_ >= job.spec.priority) return false;
   if (job.spec.shape != Shape::service || job.quota_share_exhausted) return false;
-  if (state_.context.wall - job.accepted > kQuickStop) return false;
+  if (state_.context.wall - job.accepted > kQuickStopTime) return false;
   bool fits_after_stops = false;
   for (const FreeCapacity& capacity : capacities_) {
     const Machine& machine = *capacity.machine;
     if (!machine.images.contains(job.spec.image) || !is_allowed_on(job, machine, tasks_per_zone) ||
         job.failed_on.contains(machine.name))
       continue;
-    if (state_.fetch_time(job.spec, machine.type) <= kQuickStop) return false;
-    if (job.spec.each.fits_in(machine.free())) return false;  // it is placed there without preemption
+    if (state_.fetch_time(job.spec, machine.type) <= kQuickStopTime) return false;
+    if (job.spec.each.fits_in(machine.free())) return false;  // placed there without preemption
     fits_after_stops |= job.spec.each.fits_in(free_after_quick_stops(job, capacity));
   }
   return fits_after_stops;
@@ -169,16 +172,16 @@
     const auto other = shard_.jobs.find(id.task.job);
     if (!can_be_stopped(placement) || other == shard_.jobs.end()) continue;
     const JobSpec& spec = other->second.spec;
-    if (spec.priority < job.spec.priority && spec.save <= kQuickStop) free += placement.each;
+    if (spec.priority < job.spec.priority && spec.save <= kQuickStopTime) free += placement.each;
   }
   return free;
 }
 
-std::int64_t PreemptionPass::count_on_released(const Resources& each, std::int64_t tasks) {
-  const std::int64_t in_time =
+std::int64_t PreemptionPass::reserve_released_cpu(const Resources& each, std::int64_t tasks) {
+  const std::int64_t tasks_covered =
       std::clamp<std::int64_t>(released_cpu_ / each.cpu, 0, std::max<std::int64_t>(0, tasks));
-  released_cpu_ -= in_time * each.cpu;
-  return in_time;
+  released_cpu_ -= tasks_covered * each.cpu;
+  return tasks_covered;
 }
 
 void PreemptionPass::order_for_service(const Job& job) {
@@ -192,27 +195,28 @@
 }
 
 void PreemptionPass::preempt_for(const QueueEntry& entry, const TasksPerZone& tasks_per_zone) {
-  --jobs_left_;
+  --remaining_jobs_;
   for (FreeCapacity& capacity : capacities_) capacity.free = capacity.machine->free();
   const Job& job = *entry.job;
   const Resources& each = job.spec.each;
-  // For no more tasks than the quota share lets start: otherwise two teams would stop each other's tasks in
-  // turn.
-  const std::int64_t startable =
-      job.quota_share_exhausted ? kStopsPerJob : shard_.free_quota_share(job.spec.team).holds(quota_of(each));
-  const std::int64_t needed = std::min<std::int64_t>({job.overflow, kStopsPerJob, startable});
+  // Limited to the tasks that the quota share lets start. Otherwise two teams could keep stopping each
+  // other's tasks.
+  const std::int64_t startable = job.quota_share_exhausted
+                                     ? kMaxStopsPerJob
+                                     : shard_.free_quota_share(job.spec.team).holds(quota_of(each));
+  const std::int64_t needed = std::min<std::int64_t>({job.overflow, kMaxStopsPerJob, startable});
   const Quota unused_guarantee =
       guarantee_of(state_.context.settings, shard_, job.spec.team) - shard_.used(job.spec.team);
   std::int64_t within_guarantee = std::min(needed, unused_guarantee.holds(quota_of(each)));
-  // A job that misses an objective anyway is served after those that can meet theirs: capacity released for
-  // it would go to them, and more would have to be released in turn.
+  // A job that misses an objective anyway comes after the jobs that can still meet theirs. Capacity released
+  // for it would go to those jobs, and still more tasks would have to be stopped.
   if (entry.missed_objectives > 0) within_guarantee = 0;
-  within_guarantee -= count_on_released(each, within_guarantee);
+  within_guarantee -= reserve_released_cpu(each, within_guarantee);
 
   if (job.spec.shape == Shape::service) order_for_service(job);
   JobPreemption preemption(state_, shard_, job, needed, within_guarantee);
   for (FreeCapacity& capacity : capacities_) {
-    if (preemption.satisfied()) return;
+    if (preemption.is_satisfied()) return;
     if (is_allowed_on(job, *capacity.machine, tasks_per_zone)) preemption.preempt_on(capacity);
   }
 }
--- a/src/core/placement/preemption.h
+++ b/src/core/placement/preemption.h
@@ -1,9 +1,10 @@
-// Preemption: which tasks are stopped so that others find capacity.
+// Preemption: decides which tasks are stopped to make capacity for others.
 //
-// A task is stopped for a job of higher priority, or, where the cloud has no machine to offer, for one of
-// equal priority of another team that is still within its guarantee while the task's team is above its own.
-// The capacity is only there once the worker has shown that the task is gone; until then it is reserved for
-// the pass in which the task was stopped.
+// A task is stopped for a job of higher priority. If the cloud offers no machine, a task is also stopped for
+// a job of equal priority of another team, provided that this team is within its guarantee and the team of
+// the task exceeds its own. The capacity becomes available only after the worker has reported that the task
+// has ended. During the pass that stops the task, the capacity is reserved for the job that it was stopped
+// for.
 #pragma once
 
 #include <set>
@@ -14,41 +15,42 @@
 
 namespace bendtide {
 
-/// Preemption during one pass over the queue of one shard: bounds its extent, and keeps account of the
-/// capacity that stopping tasks release, so that it is not counted on twice.
+/// Preemption during one scheduling pass over the queue of one shard. Limits how many tasks are stopped, and
+/// tracks the capacity that stopping tasks release, so that it is reserved only once.
 class PreemptionPass {
  public:
-  /// `capacities`: of all usable machines, before the pass has placed anything.
+  /// `capacities`: the free capacity of all usable machines before the pass places any task.
   PreemptionPass(ControllerState& state, Shard& shard, std::vector<FreeCapacity> capacities);
 
-  /// Whether a service starts sooner on a machine that caches its image, once tasks of lower priority there
-  /// have stopped, than anywhere else after a fetch.
+  /// Whether a service starts sooner if it waits for tasks of lower priority to stop on a machine that caches
+  /// its image than if another machine first fetches the image.
   bool starts_sooner_where_cached(const Job& job, const TasksPerZone& tasks_per_zone) const;
 
-  /// Whether there may be tasks to be stopped for a job, and the limit of the pass is not reached.
+  /// Whether the shard may have tasks that can be stopped for the job, and the limit of this pass is not
+  /// reached.
   bool may_preempt_for(const Job& job) const;
 
-  /// Stops tasks for those of a job that found no capacity, as far as the quota of its team goes.
+  /// Stops tasks to make capacity for the tasks of a job that found none, within the quota of its team.
   void preempt_for(const QueueEntry& entry, const TasksPerZone& tasks_per_zone);
 
  private:
-  /// What is free on a machine once tasks of lower priority that stop quickly are gone.
+  /// Returns the free resources of a machine after tasks of lower priority that stop quickly have ended.
   Resources free_after_quick_stops(const Job& job, const FreeCapacity& capacity) const;
-  /// Takes the released capacity that is not counted on yet into account for up to `tasks` tasks; for how
-  /// many it is enough.
-  std::int64_t count_on_released(const Resources& each, std::int64_t tasks);
-  /// For services: machines that cache the image, then near ones, then those that run services already.
+  /// Reserves CPUs of `released_cpu_` for up to `tasks` tasks, and returns for how many tasks they suffice.
+  std::int64_t reserve_released_cpu(const Resources& each, std::int64_t tasks);
+  /// Sorts the machines for a service: first those that cache its image, then those in this controller's
+  /// zone, then those that already run the most services.
   void order_for_service(const Job& job);
 
   ControllerState& state_;
   Shard& shard_;
   std::vector<FreeCapacity> capacities_;
-  Priority lowest_ = Priority::production;  ///< of the jobs with tasks on machines
-  std::set<std::string> over_guarantee_;    ///< teams that use more than their guarantee
-  /// CPUs in thousandths that come free by themselves within the time of the guarantees, and that no job
-  /// of this pass counts on yet.
+  Priority lowest_priority_ = Priority::production;  ///< among the jobs with tasks on machines
+  std::set<std::string> over_guarantee_;             ///< teams whose usage exceeds their guarantee
+  /// CPUs, in thousandths, of tasks that are expected to end within the shortest guarantee objective, without
+  /// those of tasks already being stopped and those already reserved in this pass.
   std::int64_t released_cpu_ = 0;
-  int jobs_left_;  ///< jobs for which tasks may still be stopped in this pass
+  int remaining_jobs_;  ///< the number of further jobs that this pass may stop tasks for
 };
 
 }  // namespace bendtide
