--- a/src/core/placement/queue_order.cpp
+++ b/src/core/placement/queue_order.cpp
@@ -8,11 +8,12 @@
 
 namespace {
 
-/// In place of the number of missed objectives: before all jobs of the same priority.
-constexpr int kBeforeAllObjectives = -1;
+/// Stands in place of the number of missed objectives if the first task is overdue. Less than any such
+/// number, so that the job precedes all other jobs of its priority.
+constexpr int kFirstTaskOverdue = -1;
 
-/// The latest start (wall clock) with which the job meets the objective; none if the objective does not
-/// concern it.
+/// Returns the latest start (wall clock) at which the job still meets the objective, or none if the objective
+/// does not apply to the job.
 std::optional<Micros> latest_start(const Job& job, const Objective& objective) {
   switch (objective.kind) {
     case Objective::Kind::wait:
@@ -25,7 +26,7 @@
       return job.accepted + within - job.spec.estimate;
     }
     case Objective::Kind::guarantee:
-      break;  // concerns teams, not single jobs
+      break;  // applies to teams, not to single jobs
   }
   return std::nullopt;
 }
@@ -66,9 +67,9 @@
     if (!shard.may_start(job, context.now)) continue;
     const std::string& team = job.spec.team;
     Urgency urgency = urgency_of(job, context);
-    // Under constant load there is always something more pressing: without this a job that has long waited
-    // for its first task would starve.
-    if (first_task_is_overdue(job, context)) urgency.missed_objectives = kBeforeAllObjectives;
+    // Prevents starvation: under constant load there are always more urgent jobs, and a job could wait for
+    // its first task forever.
+    if (first_task_is_overdue(job, context)) urgency.missed_objectives = kFirstTaskOverdue;
     const Quota used_with_one_more = shard.used(team) + quota_of(job.spec.each);
     const bool guaranteed = used_with_one_more.fits_in(guarantee_of(context.settings, shard, team));
     shard.queue.push_back({&job, urgency.missed_objectives, urgency.start_by, guaranteed});
