--- a/src/core/placement/scheduler.cpp
+++ b/src/core/placement/scheduler.cpp
@@ -10,12 +10,12 @@
 
 namespace {
 
-constexpr Micros kPassInterval = millis(500);  ///< if nothing has changed
-constexpr Micros kSoon = seconds(5);           ///< what comes free by then can be offered to peers
-constexpr Micros kUsualFetch = seconds(2);     ///< of an image, as assumed in offers
+constexpr Micros kPassInterval = millis(500);  ///< time between two passes while nothing changes
+constexpr Micros kOfferHorizon = seconds(5);   ///< capacity released within this time may be offered to peers
+constexpr Micros kAssumedFetchTime = seconds(2);  ///< assumed time for fetching an image, in offers
 
-/// Drops the machines that can't run even the smallest of the waiting tasks.
-void drop_too_small(std::vector<FreeCapacity>& capacities, std::int64_t smallest_cpu) {
+/// Removes the machines that have too few free CPUs for the smallest waiting task.
+void remove_too_small(std::vector<FreeCapacity>& capacities, std::int64_t smallest_cpu) {
   std::erase_if(capacities, [&](const FreeCapacity& capacity) { return capacity.free.cpu < smallest_cpu; });
 }
 
@@ -25,14 +25,14 @@
   return smallest;
 }
 
-std::uint32_t overflow_of(const Job& job) {
-  // A job that may be faulty itself needs capacity for one attempt; without any it would wait for ever for a
-  // machine.
+std::uint32_t count_overflow(const Job& job) {
+  // A job that is suspected to be faulty needs capacity for one attempt only. With an overflow of zero it
+  // would never get a machine.
   if (job.suspect()) return job.present == 0 && !job.waiting.empty() ? 1 : 0;
   return static_cast<std::uint32_t>(job.waiting.size());
 }
 
-bool are_equals(const QueueEntry& a, const QueueEntry& b) {
+bool have_equal_rank(const QueueEntry& a, const QueueEntry& b) {
   return std::tuple(a.job->spec.priority, a.missed_objectives, a.guaranteed) ==
          std::tuple(b.job->spec.priority, b.missed_objectives, b.guaranteed);
 }
@@ -45,18 +45,18 @@
   rebuild_queue(shard, state_.context);
   if (shard.queue.empty()) return;
   const std::int64_t smallest = smallest_cpu(shard.queue);
-  std::vector<FreeCapacity> open = placer_.free_capacities(shard);
-  PreemptionPass preemption(state_, shard, open);
-  drop_too_small(open, smallest);
+  std::vector<FreeCapacity> capacities = placer_.free_capacities(shard);
+  PreemptionPass preemption(state_, shard, capacities);
+  remove_too_small(capacities, smallest);
   for (const QueueEntry& entry : shard.queue) {
     Job& job = *entry.job;
     TasksPerZone tasks_per_zone = tasks_per_zone_of(shard, job);
     job.only_where_cached = preemption.starts_sooner_where_cached(job, tasks_per_zone);
-    if (!open.empty()) placer_.place_on_best(shard, job, open, tasks_per_zone);
-    drop_too_small(open, smallest);
+    if (!capacities.empty()) placer_.place_on_best(shard, job, capacities, tasks_per_zone);
+    remove_too_small(capacities, smallest);
     if (!job.waiting.empty() && !quota_of(job.spec.each).fits_in(shard.free_quota_share(job.spec.team)))
       job.quota_share_exhausted = true;
-    job.overflow = overflow_of(job);
+    job.overflow = count_overflow(job);
     if (job.overflow == 0) {
       job.refused = false;
       job.no_offering = false;
@@ -77,9 +77,10 @@
   });
   if (first == shard.queue.end()) return;
   FreeCapacity capacity{&machine, machine.free(), {}};
-  // Among the first of the queue and its equals those go first whose image is cached here.
+  // Among the first entry that may start here and the entries of equal rank, jobs whose image is cached on
+  // the machine take precedence.
   for (const QueueEntry& entry : shard.queue)
-    if (are_equals(entry, *first)) fill_from(shard, entry, capacity, true);
+    if (have_equal_rank(entry, *first)) fill_from(shard, entry, capacity, true);
   for (const QueueEntry& entry : shard.queue) fill_from(shard, entry, capacity, false);
 }
 
@@ -94,7 +95,7 @@
   placer_.place_on(shard, job, capacity, tasks_per_zone);
 }
 
-bool Scheduler::own_tasks_wait(const Shard& shard, const CallForProposals& call) {
+bool Scheduler::has_waiting_tasks(const Shard& shard, const CallForProposals& call) {
   return std::any_of(shard.jobs.begin(), shard.jobs.end(), [&](const auto& entry) {
     const Job& job = entry.second;
     return job.overflow > 0 && !job.quota_share_exhausted &&
@@ -116,7 +117,7 @@
     capacity.now += tasks;
     capacity.cached |= tasks > 0 && machine.images.contains(call.image);
     if (capacity.now < call.tasks)
-      capacity.soon += (free + machine.released_by(state_.now() + kSoon)).holds(call.each) - tasks;
+      capacity.soon += (free + machine.released_by(state_.now() + kOfferHorizon)).holds(call.each) - tasks;
   }
   return capacity;
 }
@@ -130,11 +131,13 @@
   Offer out;
   if (capacity.now > 0 && most > 0) {
     out.tasks = static_cast<std::uint32_t>(std::min(capacity.now, most));
-    out.delay = capacity.cached ? Micros{0} : kUsualFetch;
-  } else if (!own_tasks_wait(shard, call)) {
-    // What a pass left free is of no use to our own tasks that wait; what comes free soon may be.
+    out.delay = capacity.cached ? Micros{0} : kAssumedFetchTime;
+  } else if (!has_waiting_tasks(shard, call)) {
+    // Capacity that the last pass left free is of no use to this shard's waiting tasks and can always be
+    // offered. Capacity that is released soon may be useful to them, so it is offered only if no such task
+    // waits.
     out.tasks = static_cast<std::uint32_t>(std::min(capacity.soon, most));
-    out.delay = kSoon + kUsualFetch;
+    out.delay = kOfferHorizon + kAssumedFetchTime;
   }
   if (call.disclosed && call.deadline_in.count() > 0 && out.delay > call.deadline_in) out.tasks = 0;
   return out;
--- a/src/core/placement/scheduler.h
+++ b/src/core/placement/scheduler.h
@@ -1,4 +1,4 @@
-// Placement within one shard: the front of queue order, bin packing and preemption.
+// Placement within one shard. The interface to queue order, bin packing and preemption.
 #pragma once
 
 #include "core/placement/placer.h"
@@ -10,16 +10,16 @@
   Scheduler(ControllerState& state, const Fleet& fleet)
       : state_(state), fleet_(fleet), placer_(state, fleet) {}
 
-  /// Places what can be placed, and stops tasks that have to give way. Leaves in each job how many of its
-  /// tasks found no capacity (`overflow`). Does nothing unless something has changed since the last pass, or
-  /// half a second has gone by.
+  /// Runs a scheduling pass: places waiting tasks, preempts others for them where allowed, and stores in each
+  /// job how many of its tasks found no capacity (`overflow`). Does nothing unless the shard has changed
+  /// since the last pass or half a second has passed.
   void pass(Shard& shard);
 
-  /// Places on one machine what waited at the last pass, so that the response to its heartbeat brings it new
-  /// work.
+  /// Places tasks that were left waiting by the last pass on one machine, so that the response to its
+  /// heartbeat can carry start commands.
   void fill(Shard& shard, Machine& machine);
 
-  /// How many tasks of a call for proposals a shard could take, and after what delay they would start.
+  /// The number of tasks of a call for proposals that a shard can take, and the delay until they start.
   struct Offer {
     std::uint32_t tasks = 0;
     Micros delay{0};
@@ -27,19 +27,20 @@
   Offer offer(Shard& shard, const CallForProposals& call) const;
 
  private:
-  /// Places tasks of one queue entry on one machine, if it may run there.
+  /// Places tasks of one queue entry on the machine if the job may start there.
   void fill_from(Shard& shard, const QueueEntry& entry, FreeCapacity& capacity, bool only_if_cached);
   bool may_start_on(const Shard& shard, const Job& job, const Machine& machine) const;
 
-  /// For how many tasks of a call the machines of a shard have capacity.
+  /// The number of tasks of a call that the machines of a shard have capacity for.
   struct CallCapacity {
-    std::int64_t now = 0;
-    std::int64_t soon = 0;  ///< further ones, counted only as long as `now` is too little
-    bool cached = false;    ///< a machine with capacity now caches the image
+    std::int64_t now = 0;   ///< on resources that are free
+    std::int64_t soon = 0;  ///< additional tasks within kOfferHorizon, if `now` is insufficient
+    bool cached = false;    ///< a machine with free capacity caches the image
   };
   CallCapacity capacity_for(const Shard& shard, const CallForProposals& call) const;
-  /// Whether tasks of the shard's own jobs need what comes free next.
-  static bool own_tasks_wait(const Shard& shard, const CallForProposals& call);
+  /// Whether waiting tasks of the shard need the capacity that is released next. If the call discloses its
+  /// priority, tasks of lower priority do not count. Tasks of jobs with an exhausted quota share never do.
+  static bool has_waiting_tasks(const Shard& shard, const CallForProposals& call);
 
   ControllerState& state_;
   const Fleet& fleet_;
