--- a/src/core/provisioning/autoscaler.h
+++ b/src/core/provisioning/autoscaler.h
@@ -1,5 +1,5 @@
-// The autoscaler: creates machines for tasks without capacity, deletes those no longer needed, and adopts
-// orphaned ones. The front of the folder.
+// The autoscaler: creates machines for tasks that found no capacity, deletes machines that are no longer
+// needed, and adopts orphaned machines. The interface of this folder to the controller.
 #pragma once
 
 #include "core/provisioning/catalogue_reader.h"
@@ -13,11 +13,12 @@
  public:
   Autoscaler(ControllerState& state, Fleet& fleet);
 
-  /// Acts on the shards that are ready, and only while the controller's lease is valid.
+  /// Keeps the catalogue up to date, and scales the shards that are ready while the controller's lease is
+  /// valid.
   void tick();
   void on_response(std::uint64_t call, const CloudResponse& response);
   void on_shard_ready(Shard& shard);
-  /// A peer was refused this offering.
+  /// Handles the notice of a peer that the cloud has no capacity for this offering.
   void on_capacity_exhausted(const CapacityExhausted& exhausted);
 
  private:
