--- a/src/core/provisioning/catalogue_reader.cpp
+++ b/src/core/provisioning/catalogue_reader.cpp
@@ -5,8 +5,8 @@
 namespace {
 
 constexpr Micros kReadInterval = seconds(30);
-constexpr Micros kRetryAfterFailure = seconds(1);
-constexpr Micros kRetryWithoutBudget = millis(200);
+constexpr Micros kFailureRetryDelay = seconds(1);
+constexpr Micros kBudgetRetryDelay = millis(200);
 
 bool differ_in_more_than_spot_prices(std::vector<MachineType> a, std::vector<MachineType> b) {
   for (MachineType& type : a) type.spot_price = 0;
@@ -21,23 +21,25 @@
 }
 
 void CatalogueReader::read() {
-  const bool first = state_.catalogue.empty();
+  const bool is_first_read = state_.catalogue.empty();
   reading_ = true;
-  const bool sent = cloud_.call(
-      ListMachineTypes{}, [this, first](const CloudResponse& response) { on_types_listed(first, response); });
-  if (!sent) schedule_next(kRetryWithoutBudget);
-  if (first) load_saved();
+  const bool sent = cloud_.call(ListMachineTypes{}, [this, is_first_read](const CloudResponse& response) {
+    on_types_listed(is_first_read, response);
+  });
+  if (!sent) schedule_next(kBudgetRetryDelay);
+  if (is_first_read) load_saved();
 }
 
-void CatalogueReader::schedule_next(Micros pause) {
+void CatalogueReader::schedule_next(Micros delay) {
   reading_ = false;
-  next_read_ = state_.now() + pause;
+  next_read_ = state_.now() + delay;
 }
 
-void CatalogueReader::on_types_listed(bool first, const CloudResponse& response) {
-  if (!response.ok() || response.types.empty()) return schedule_next(kRetryAfterFailure);
-  // Spot prices move too often to be worth a write.
-  if (first || differ_in_more_than_spot_prices(response.types, state_.catalogue)) save(response.types);
+void CatalogueReader::on_types_listed(bool is_first_read, const CloudResponse& response) {
+  if (!response.ok() || response.types.empty()) return schedule_next(kFailureRetryDelay);
+  // A change of spot prices alone is not saved, because spot prices change too often.
+  if (is_first_read || differ_in_more_than_spot_prices(response.types, state_.catalogue))
+    save(response.types);
   state_.catalogue = response.types;
   update_machine_sizes();
   schedule_next(kReadInterval);
--- a/src/core/provisioning/catalogue_reader.h
+++ b/src/core/provisioning/catalogue_reader.h
@@ -6,8 +6,8 @@
 
 namespace bendtide {
 
-/// Reads the catalogue from the cloud every half minute. A copy in the key-value store serves a controller
-/// that starts while the cloud is away.
+/// Reads the catalogue from the cloud every 30 seconds. A controller that starts while the cloud is
+/// unavailable uses the copy in the key-value store.
 class CatalogueReader {
  public:
   CatalogueReader(ControllerState& state, CloudClient& cloud) : state_(state), cloud_(cloud) {}
@@ -16,12 +16,12 @@
 
  private:
   void read();
-  void on_types_listed(bool first, const CloudResponse& response);
+  void on_types_listed(bool is_first_read, const CloudResponse& response);
   void save(const std::vector<MachineType>& types);
   void load_saved();
-  /// Sizes of machines follow the catalogue, and with them the usage counted by the shards.
+  /// Updates the sizes of all machines from the catalogue, and the usage counted by their shards.
   void update_machine_sizes();
-  void schedule_next(Micros pause);
+  void schedule_next(Micros delay);
 
   ControllerState& state_;
   CloudClient& cloud_;
