--- a/src/core/provisioning/cloud_client.cpp
+++ b/src/core/provisioning/cloud_client.cpp
@@ -6,12 +6,12 @@
 
 namespace {
 
-/// The fraction of the published rate that all controllers together use.
-constexpr double kRateUsed = 0.8;
+/// The fraction of the published rate limit that all controllers together may use.
+constexpr double kUsableRateFraction = 0.8;
 
-TokenBucket budget_of_one_controller(const Settings& settings) {
+TokenBucket controller_budget(const Settings& settings) {
   const auto controllers = static_cast<double>(settings.controllers());
-  const double calls_per_s = kRateUsed * settings.cloud_calls_per_s / controllers;
+  const double calls_per_s = kUsableRateFraction * settings.cloud_calls_per_s / controllers;
   const double burst = std::max(1.0, settings.cloud_calls_per_s / controllers);
   return {calls_per_s, burst};
 }
@@ -19,7 +19,7 @@
 }  // namespace
 
 CloudClient::CloudClient(Context& context)
-    : context_(context), budget_(budget_of_one_controller(context.settings)) {}
+    : context_(context), budget_(controller_budget(context.settings)) {}
 
 bool CloudClient::call(CloudRequest request, Callback callback) {
   if (!budget_.take(context_.now)) return false;
--- a/src/core/provisioning/cloud_client.h
+++ b/src/core/provisioning/cloud_client.h
@@ -1,4 +1,4 @@
-// The core's client of the cloud's API.
+// Client of the cloud's API.
 #pragma once
 
 #include <cstdint>
@@ -10,18 +10,18 @@
 
 namespace bendtide {
 
-/// Sends requests within this controller's share of the published rate, and hands each response to its
-/// caller. Nothing is queued: a request for which the rate leaves no budget is made again by its caller at a
-/// later tick.
+/// Sends requests within this controller's share of the published rate limit, and passes each response to its
+/// caller. Requests are not queued: if the budget is exhausted, the caller repeats the request at a later
+/// tick.
 class CloudClient {
  public:
   using Callback = std::function<void(const CloudResponse&)>;
 
   explicit CloudClient(Context& context);
 
-  /// False if the budget is used up: then nothing is sent, and the callback is dropped.
+  /// Returns false if the budget is exhausted. In that case nothing is sent and the callback is discarded.
   [[nodiscard]] bool call(CloudRequest request, Callback callback);
-  /// The response to a call, or its failure. One to a call that is not in flight is ignored.
+  /// Handles the response to a call, or its failure. A response to a call that is not in flight is ignored.
   void on_response(std::uint64_t call, const CloudResponse& response);
 
  private:
