--- a/src/core/provisioning/demand.cpp
+++ b/src/core/provisioning/demand.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// A machine that boots is overdue after 8/5 of the usual time for its type and this margin.
+/// A booting machine is overdue after 8/5 of the usual boot time of its type plus this margin.
 constexpr Micros kBootMargin = seconds(2);
 
 }  // namespace
@@ -19,16 +19,16 @@
   demand.tasks -= tasks;
 }
 
-DemandEstimate::NewestUp DemandEstimate::newest_up(const Shard& shard) {
-  NewestUp newest;
+DemandEstimate::NewestRunning DemandEstimate::newest_running(const Shard& shard) {
+  NewestRunning newest;
   for (const auto& [name, machine] : shard.machines)
     if (machine.liveness.status_received)
       newest[machine.type] = std::max(newest[machine.type], machine.rented_at);
   return newest;
 }
 
-bool DemandEstimate::may_still_come(const Machine& machine, const MachineType& type,
-                                    const NewestUp& newest) const {
+bool DemandEstimate::is_expected_to_boot(const Machine& machine, const MachineType& type,
+                                         const NewestRunning& newest) const {
   const Micros age = state_.context.wall - machine.rented_at;
   if (age <= type.boot * 8 / 5 + kBootMargin) return true;
   if (!fleet_.booting(machine)) return false;
@@ -37,7 +37,7 @@
 }
 
 std::vector<Bin> DemandEstimate::future_bins(const Shard& shard) const {
-  const NewestUp newest = newest_up(shard);
+  const NewestRunning newest = newest_running(shard);
   std::vector<Bin> bins;
   for (const auto& [name, machine] : shard.machines) {
     const MachineType* type = state_.machine_type(machine.type);
@@ -45,7 +45,7 @@
     const Offering offering{machine.type, machine.zone, machine.spot};
     if (machine.liveness.status_received) {
       if (fleet_.usable(machine)) bins.push_back({offering, machine.released_by(state_.now() + type->boot)});
-    } else if (!shard.cut_zones.contains(machine.zone) && may_still_come(machine, *type, newest)) {
+    } else if (!shard.cut_zones.contains(machine.zone) && is_expected_to_boot(machine, *type, newest)) {
       bins.push_back({offering, machine.size});
     }
   }
@@ -59,7 +59,7 @@
   const Micros waiting_for = state_.context.wall - job.accepted;
   const bool overdue = !job.begun() && waiting_for > Settings::kLongestWaitForFirstTask;
   demand.spot_only = !overdue;
-  // Best-effort work has to begin, too: overdue, its first task gets a machine at any price.
+  // Best-effort jobs must begin in time, too: an overdue first task gets a machine at any price.
   if (overdue) demand.tasks = std::min<std::int64_t>(demand.tasks, 1);
   return demand;
 }
@@ -68,7 +68,7 @@
   std::vector<Demand> demands;
   std::map<std::string, Quota> free_quotas;  // by team
   for (auto& [id, job] : shard.jobs) {
-    // The own ones only once no peer has capacity for them.
+    // The shard's own jobs need a machine only once all peers have refused them.
     if (job.overflow == 0 || !(job.refused || !job.owner.empty())) continue;
     const auto [free_quota, inserted] = free_quotas.try_emplace(job.spec.team);
     if (inserted) free_quota->second = shard.free_quota_share(job.spec.team);
