--- a/src/core/provisioning/offering.h
+++ b/src/core/provisioning/offering.h
@@ -1,4 +1,4 @@
-// What the cloud offers: a machine type in a zone, on demand or as a spot machine.
+// An offering of the cloud: a machine type in a zone, as an on-demand or a spot machine.
 #pragma once
 
 #include <compare>
@@ -15,7 +15,7 @@
   auto operator<=>(const Offering&) const = default;
 };
 
-/// Whether the rules of a job allow its tasks on such a machine.
+/// Whether the rules of a job allow its tasks on a machine of the offering.
 inline bool suits(const JobSpec& spec, const Offering& offering) {
   return (!offering.spot || spec.spot) && spec.allows_type(offering.type) &&
          (!spec.zone || *spec.zone == offering.zone);
