--- a/src/core/provisioning/offering_selector.cpp
+++ b/src/core/provisioning/offering_selector.cpp
@@ -6,13 +6,14 @@
 
 namespace {
 
-constexpr Micros kExhaustedFor = seconds(20);
-/// A boot of this many seconds weighs as much as the double price.
-constexpr double kBootThatDoublesCost = 120;
-/// A service keeps running in our own zone when the others are cut off: that is worth this factor.
-constexpr double kForeignZoneForService = 1.25;
-/// For arrays the zone only decides between equal prices.
-constexpr double kForeignZoneForArray = 1.001;
+constexpr Micros kExhaustedPeriod = seconds(20);
+/// A boot time of this many seconds doubles the weighted cost.
+constexpr double kBootSecondsDoublingCost = 120;
+/// Cost factor of other zones for a service: in this controller's zone, it keeps running while other zones
+/// are unreachable.
+constexpr double kRemoteZoneFactorForService = 1.25;
+/// Cost factor of other zones for an array: just enough to decide between equal costs.
+constexpr double kRemoteZoneFactorForArray = 1.001;
 
 }  // namespace
 
@@ -33,9 +34,10 @@
     if (suits(other.job->spec, offering)) wanted_cpu += other.job->spec.each.cpu * other.tasks;
   const double price = offering.spot ? type.spot_price : type.price;
   double cost = price / static_cast<double>(std::min(type.size.cpu, wanted_cpu));
-  cost *= 1.0 + in_seconds(type.boot) / kBootThatDoublesCost;
+  cost *= 1.0 + in_seconds(type.boot) / kBootSecondsDoublingCost;
   if (offering.zone != state_.context.settings.zone)
-    cost *= demand.job->spec.shape == Shape::service ? kForeignZoneForService : kForeignZoneForArray;
+    cost *=
+        demand.job->spec.shape == Shape::service ? kRemoteZoneFactorForService : kRemoteZoneFactorForArray;
   return cost;
 }
 
@@ -59,7 +61,7 @@
 }
 
 void OfferingSelector::mark_exhausted(const Offering& offering) {
-  exhausted_until_[offering] = state_.now() + kExhaustedFor;
+  exhausted_until_[offering] = state_.now() + kExhaustedPeriod;
 }
 
 }  // namespace bendtide
--- a/src/core/provisioning/offering_selector.h
+++ b/src/core/provisioning/offering_selector.h
@@ -1,4 +1,4 @@
-// The choice among the cloud's offerings.
+// Selection among the cloud's offerings.
 #pragma once
 
 #include <map>
@@ -9,24 +9,25 @@
 
 namespace bendtide {
 
-/// Chooses the cheapest offering for a demand, and remembers for a while which ones the cloud could not
-/// deliver.
+/// Selects the cheapest offering for a demand. Offerings that the cloud had no capacity for are excluded for
+/// a limited time.
 class OfferingSelector {
  public:
   explicit OfferingSelector(const ControllerState& state) : state_(state) {}
 
-  /// The offering that costs least for each CPU that will be used, with the other demands put on the same
-  /// machine where it suits them. None if the catalogue has none for it, or only exhausted ones.
+  /// Returns the offering with the lowest weighted cost for each CPU that will be used, where tasks of other
+  /// demands may share the machine if it suits them. Returns none if the catalogue has no suitable offering
+  /// that is available.
   std::optional<Offering> cheapest(const Shard& shard, const Demand& demand,
                                    const std::vector<Demand>& demands) const;
 
-  /// The cloud has no more of these: not considered for some seconds.
+  /// Records that the cloud has no capacity for the offering, which excludes it for kExhaustedPeriod.
   void mark_exhausted(const Offering& offering);
 
  private:
   bool is_available(const Shard& shard, const Demand& demand, const MachineType& type,
                     const Offering& offering) const;
-  /// Price for each thousandth of a CPU that will be used, weighted by boot time and zone.
+  /// Returns the price for each thousandth of a CPU that will be used, weighted by boot time and zone.
   double weighted_cost(const Demand& demand, const std::vector<Demand>& demands, const MachineType& type,
                        const Offering& offering) const;
 
