--- a/src/core/provisioning/orphan_adoption.h
+++ b/src/core/provisioning/orphan_adoption.h
@@ -1,4 +1,4 @@
-// Adoption of orphaned machines: those that exist in the cloud without an ownership record.
+// Adoption of orphaned machines: machines that exist in the cloud but have no ownership record.
 #pragma once
 
 #include <string>
@@ -8,31 +8,33 @@
 
 namespace bendtide {
 
-/// Reads the cloud's list of machines, page after page, and requests ownership of those that no shard owns
-/// and whose home shard is the controller's own. Such are left when a controller stops between the creation
-/// of a machine and the write of its ownership record.
+/// Reads the cloud's list of machines page by page, and requests ownership of the machines that no shard owns
+/// and whose home shard is the controller's own shard. Orphaned machines result from a controller that stops
+/// between the creation of a machine and the write of its ownership record.
 class OrphanAdoption {
  public:
   OrphanAdoption(ControllerState& state, Fleet& fleet, CloudClient& cloud)
       : state_(state), fleet_(fleet), cloud_(cloud) {}
 
-  /// From now on the list is read regularly, the first time after its lag.
+  /// Starts the periodic reads of the list. The first read is made after twice the lag of the list. Further
+  /// calls have no effect.
   void start();
-  /// `shard`: the controller's own.
+  /// Reads the next page if it is due. `shard`: the controller's own shard.
   void tick(Shard& shard);
 
  private:
   void on_listed(const std::string& shard_name, LeadershipTerm leadership_term,
                  const CloudResponse& response);
-  bool is_orphaned_here(const CloudMachine& machine, const std::string& shard_name) const;
-  /// Between two readings of the whole list. A machine younger than that may be about to be recorded.
-  Micros pause() const;
+  bool should_adopt(const CloudMachine& machine, const std::string& shard_name) const;
+  /// Returns the time between two reads of the whole list. The ownership record of a machine younger than
+  /// this may still be written.
+  Micros list_interval() const;
 
   ControllerState& state_;
   Fleet& fleet_;
   CloudClient& cloud_;
   Micros next_page_at_{0};  ///< steady clock
-  std::string list_after_;  ///< the next page begins behind this machine; empty: at the beginning
+  std::string list_after_;  ///< the next page starts after this machine; empty: at the start of the list
 };
 
 }  // namespace bendtide
