--- a/src/core/provisioning/scale_in.cpp
+++ b/src/core/provisioning/scale_in.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-constexpr std::size_t kMachinesPerDeletion = 100;
-constexpr Micros kShortestPaid = seconds(60);  ///< a machine returned earlier costs as much
+constexpr std::size_t kMaxMachinesPerDeletion = 100;
+constexpr Micros kMinBilledTime = seconds(60);  ///< returning a machine earlier saves nothing
 
 }  // namespace
 
@@ -18,28 +18,32 @@
 }
 
 void ScaleIn::decommission_idle_machines(Shard& shard) const {
-  // Returned also while tasks wait that it does not suit: it could block the capacity in the cloud that these
-  // need.
+  // An idle machine is returned even while tasks wait that it does not suit, because it may block the
+  // capacity in the cloud that those tasks need.
   for (auto& [name, machine] : shard.machines) {
     if (machine.lifecycle.decommissioned || !machine.liveness.status_received || !machine.reconciled)
       continue;
-    // Behind a network cut they are idle because nothing reaches them, and are needed once it is over.
+    // A machine behind a network partition is idle only because it can't be reached, and is needed again once
+    // the partition has healed.
     if (machine.liveness.lease_expired || shard.cut_zones.contains(machine.zone)) continue;
     if (!machine.idle()) {
       drain_best_effort(shard, machine);
       continue;
     }
-    if (!is_idle_for_long(machine)) continue;
+    if (!is_idle_long_enough(machine)) continue;
     machine.lifecycle.decommissioned = true;
     state_.context.debug([&shard, &machine = machine] {
-      return LogMessage("machine decommissioned").shard(shard.name).machine(machine.name).why("idle");
+      return LogMessage("machine decommissioned")
+          .shard(shard.name)
+          .machine(machine.name)
+          .why("idle longer than the configured time");
     });
   }
 }
 
-bool ScaleIn::is_idle_for_long(const Machine& machine) const {
+bool ScaleIn::is_idle_long_enough(const Machine& machine) const {
   return state_.now() - machine.idle_since >= seconds(state_.context.policy.idle_return_s) &&
-         state_.context.wall - machine.rented_at >= kShortestPaid;
+         state_.context.wall - machine.rented_at >= kMinBilledTime;
 }
 
 bool ScaleIn::has_only_best_effort(const Shard& shard, const Machine& machine) const {
@@ -60,7 +64,8 @@
   if (state_.now() - machine.needed_at < seconds(state_.context.policy.idle_return_s)) return;
   for (auto& [id, placement] : machine.tasks) {
     const Job& job = shard.jobs.at(id.task.job);
-    // The first task of a job goes on: another would have to begin elsewhere within its time.
+    // The first task of a job is not stopped while its time to start has not passed: otherwise the job would
+    // need another task to start elsewhere within that time.
     const bool first_task_due = state_.context.wall - job.accepted < Settings::kFirstTaskWithin;
     if (first_task_due && job.present == 1) continue;
     shard.change(machine, id, placement, [](Placement& changed) { changed.wanted = false; });
@@ -73,17 +78,17 @@
   for (auto& [name, machine] : shard.machines) {
     if (machine.liveness.status_received || machine.lifecycle.decommissioned || fleet_.booting(machine))
       continue;
-    // Behind a network cut it may have been up before this leadership began, so it gets more time. But
-    // machines that never came up look like a cut, too, and nothing is created in their zone for as long as
-    // they are kept.
-    const Micros allowed = shard.cut_zones.contains(machine.zone) ? lease * 3 / 2 : lease;
-    // Once a zone can be reached again, all its workers have the time of a lease for a heartbeat.
-    if (state_.now() - std::max(shard.acquired_at, shard.cut_over) <= allowed) continue;
+    // A machine behind a network partition may have been running before this leadership term began, so it
+    // gets more time. The time is limited because machines that never booted look like a partition as well,
+    // and no machine is created in their zone as long as they are kept.
+    const Micros max_silence = shard.cut_zones.contains(machine.zone) ? lease * 3 / 2 : lease;
+    // After a zone has become reachable again, its workers have the duration of a lease to send a heartbeat.
+    if (state_.now() - std::max(shard.acquired_at, shard.cut_over) <= max_silence) continue;
     machine.lifecycle.decommissioned = true;
     state_.context.info(LogMessage("machine decommissioned")
                             .shard(shard.name)
                             .machine(name)
-                            .why("it should be up, but has sent no status"));
+                            .why("no status received after its expected boot time"));
   }
 }
 
@@ -91,7 +96,7 @@
   Deletion deletion{shard.name, shard.leadership_term, {}};
   for (const auto& [name, machine] : shard.machines)
     if (machine.lifecycle.decommissioned && !machine.lifecycle.deleting &&
-        deletion.machines.size() < kMachinesPerDeletion)
+        deletion.machines.size() < kMaxMachinesPerDeletion)
       deletion.machines.push_back(name);
   if (deletion.machines.empty()) return;
   const bool sent =
@@ -106,7 +111,7 @@
   if (shard == nullptr) return;
   for (const std::string& name : deletion.machines) {
     if (response.ok()) {
-      // The response proves that the machine is gone, with everything on it.
+      // The response proves that the machine and all tasks on it no longer exist.
       fleet_.remove(*shard, name);
       continue;
     }
--- a/src/core/provisioning/scale_in.h
+++ b/src/core/provisioning/scale_in.h
@@ -1,4 +1,4 @@
-// Scale in: decommissions machines that are idle or silent, and deletes them.
+// Scale-in: decommissions machines that are idle or silent, and deletes them.
 #pragma once
 
 #include <string>
@@ -14,8 +14,8 @@
   ScaleIn(ControllerState& state, Fleet& fleet, CloudClient& cloud)
       : state_(state), fleet_(fleet), cloud_(cloud) {}
 
-  /// Decommissions what is no longer needed, and deletes up to one call's worth of decommissioned machines. A
-  /// machine leaves the shard only once the cloud has confirmed its deletion.
+  /// Decommissions machines that are no longer needed, and deletes decommissioned machines with at most one
+  /// call. A machine is removed from the shard only after the cloud has confirmed its deletion.
   void scale_in(Shard& shard);
 
  private:
@@ -27,13 +27,14 @@
   };
 
   void decommission_idle_machines(Shard& shard) const;
-  bool is_idle_for_long(const Machine& machine) const;
-  /// Stops best-effort work that alone keeps an on-demand machine from being returned.
+  bool is_idle_long_enough(const Machine& machine) const;
+  /// Stops the tasks of an on-demand machine that has run only best-effort tasks for the configured idle
+  /// time, so that it can be returned.
   void drain_best_effort(Shard& shard, Machine& machine) const;
-  /// Whether all that is on the machine is known best-effort work that goes on. One task that is being
-  /// stopped, or whose job is not known, makes it false.
+  /// Whether all tasks on the machine belong to known best-effort jobs and none has ended or is being
+  /// stopped.
   bool has_only_best_effort(const Shard& shard, const Machine& machine) const;
-  /// Machines that should be up, but have sent no status under the present leadership.
+  /// Decommissions machines that should have booted, but have sent no status in this leadership term.
   void decommission_silent_machines(Shard& shard) const;
   void delete_decommissioned_machines(Shard& shard);
   void on_deleted(const Deletion& deletion, const CloudResponse& response);
