--- a/src/core/provisioning/scale_out.cpp
+++ b/src/core/provisioning/scale_out.cpp
@@ -6,13 +6,13 @@
 
 namespace {
 
-constexpr int kMachinesPerCreation = 50;
+constexpr int kMaxMachinesPerCreation = 50;
 
 }  // namespace
 
 std::string ScaleOut::next_idempotency_key() {
-  // Never used before or after: the incarnation is this process's own.
-  return state_.self() + "-" + state_.context.incarnation + "-" + std::to_string(++idempotency_keys_);
+  // The incarnation is unique to this process, so no other process ever uses the same key.
+  return state_.self() + "-" + state_.context.incarnation + "-" + std::to_string(++idempotency_key_count_);
 }
 
 std::map<Offering, ScaleOut::MachinesWanted> ScaleOut::machines_wanted(Shard& shard) const {
@@ -21,7 +21,7 @@
   std::vector<Demand> demands = demand_.unmet_demands(shard, bins);
   int machines = 0;
   for (Demand& demand : demands) {
-    while (demand.tasks > 0 && machines < kMachinesPerCreation) {
+    while (demand.tasks > 0 && machines < kMaxMachinesPerCreation) {
       const std::optional<Offering> offering = offerings_.cheapest(shard, demand, demands);
       demand.job->no_offering = !offering;
       if (!offering) break;
@@ -37,19 +37,22 @@
 }
 
 void ScaleOut::scale_out(Shard& shard) {
-  if (creating_.contains(shard.name)) return;
-  if (!unknown_creations_.empty()) {
-    // With the same key the cloud lists the machines that it created before, and creates none twice.
-    const Creation repeated = unknown_creations_.begin()->second;
+  if (shards_creating_.contains(shard.name)) return;
+  if (!unresolved_creations_.empty()) {
+    // A call repeated with the same idempotency key creates no machine twice: the cloud responds with the
+    // machines that it created for the first call.
+    const Creation repeated = unresolved_creations_.begin()->second;
     return create_machines(shard, repeated);
   }
   const std::map<Offering, MachinesWanted> wanted = machines_wanted(shard);
   if (wanted.empty()) return;
-  // Best-effort work last, else the largest number, as calls are few.
+  // The number of calls is limited: creates the largest number of machines first, those for best-effort tasks
+  // last.
   auto rank = [](const auto& entry) { return std::pair(!entry.second.best_effort, entry.second.count); };
-  const auto& [offering, most] = *std::max_element(
+  const auto& [offering, largest] = *std::max_element(
       wanted.begin(), wanted.end(), [&](const auto& a, const auto& b) { return rank(a) < rank(b); });
-  create_machines(shard, {next_idempotency_key(), offering, std::min(most.count, kMachinesPerCreation)});
+  create_machines(shard,
+                  {next_idempotency_key(), offering, std::min(largest.count, kMaxMachinesPerCreation)});
 }
 
 void ScaleOut::create_machines(Shard& shard, const Creation& creation) {
@@ -58,19 +61,19 @@
       CreateMachines{creation.idempotency_key, offering.type, offering.zone, offering.spot, creation.count},
       [this, creation, name = shard.name, leadership_term = shard.leadership_term](
           const CloudResponse& response) { on_created(name, leadership_term, creation, response); });
-  if (sent) creating_.insert(shard.name);
+  if (sent) shards_creating_.insert(shard.name);
 }
 
 void ScaleOut::on_created(const std::string& shard_name, LeadershipTerm leadership_term,
                           const Creation& creation, const CloudResponse& response) {
-  creating_.erase(shard_name);
-  unknown_creations_.erase(creation.idempotency_key);
+  shards_creating_.erase(shard_name);
+  unresolved_creations_.erase(creation.idempotency_key);
   switch (response.outcome) {
     case CloudResponse::Outcome::no_capacity:
       report_exhausted(creation.offering);
       break;
     case CloudResponse::Outcome::unknown:
-      unknown_creations_[creation.idempotency_key] = creation;
+      unresolved_creations_[creation.idempotency_key] = creation;
       break;
     case CloudResponse::Outcome::refused:
       break;
@@ -91,7 +94,7 @@
 void ScaleOut::take_ownership(const std::string& shard_name, LeadershipTerm leadership_term,
                               const Offering& offering, const std::vector<std::string>& machines) {
   Shard* shard = state_.shard_in_term(shard_name, leadership_term);
-  if (shard == nullptr) return;  // they are adopted as orphaned machines later
+  if (shard == nullptr) return;  // the machines are adopted as orphans later
   for (const std::string& machine : machines)
     fleet_.ownership().request(
         *shard,
