--- a/src/core/placement/scheduler.cpp
+++ b/src/core/placement/scheduler.cpp
@@ -126,17 +126,17 @@
   const Quota quota = shard.free_quota_share(call.team) + call.spare_quota;
   const std::int64_t within_quota = quota.holds(quota_of(call.each));
   if (within_quota <= 0) return {};
-  const std::int64_t most = std::min(within_quota, std::int64_t{call.tasks});
+  const std::int64_t max_tasks = std::min(within_quota, std::int64_t{call.tasks});
   const CallCapacity capacity = capacity_for(shard, call);
   Offer out;
-  if (capacity.now > 0 && most > 0) {
-    out.tasks = static_cast<std::uint32_t>(std::min(capacity.now, most));
+  if (capacity.now > 0 && max_tasks > 0) {
+    out.tasks = static_cast<std::uint32_t>(std::min(capacity.now, max_tasks));
     out.delay = capacity.cached ? Micros{0} : kAssumedFetchTime;
   } else if (!has_waiting_tasks(shard, call)) {
     // Capacity that the last pass left free is of no use to this shard's waiting tasks and can always be
     // offered. Capacity that is released soon may be useful to them, so it is offered only if no such task
     // waits.
-    out.tasks = static_cast<std::uint32_t>(std::min(capacity.soon, most));
+    out.tasks = static_cast<std::uint32_t>(std::min(capacity.soon, max_tasks));
     out.delay = kOfferHorizon + kAssumedFetchTime;
   }
   if (call.disclosed && call.deadline_in.count() > 0 && out.delay > call.deadline_in) out.tasks = 0;
--- a/src/core/placement/scheduler.h
+++ b/src/core/placement/scheduler.h
@@ -34,7 +34,7 @@
   /// The number of tasks of a call that the machines of a shard have capacity for.
   struct CallCapacity {
     std::int64_t now = 0;   ///< on resources that are free
-    std::int64_t soon = 0;  ///< additional tasks within kOfferHorizon, if `now` is insufficient
+    std::int64_t soon = 0;  ///< further tasks within 5 s, counted only while `now` is too few
     bool cached = false;    ///< a machine with free capacity caches the image
   };
   CallCapacity capacity_for(const Shard& shard, const CallForProposals& call) const;
