--- a/src/core/provisioning/offering_selector.h
+++ b/src/core/provisioning/offering_selector.h
@@ -21,7 +21,7 @@
   std::optional<Offering> cheapest(const Shard& shard, const Demand& demand,
                                    const std::vector<Demand>& demands) const;
 
-  /// Records that the cloud has no capacity for the offering, which excludes it for kExhaustedPeriod.
+  /// Records that the cloud has no capacity for the offering, which excludes it for 20 seconds.
   void mark_exhausted(const Offering& offering);
 
  private:
