--- a/src/core/negotiation/award_reader.cpp
+++ b/src/core/negotiation/award_reader.cpp
@@ -33,8 +33,8 @@
   return job;
 }
 
-/// Marks as done the tasks that the chunk records as done. Tasks placed in this shard are left alone, as
-/// their results arrive from the workers; waiting tasks are marked only while the shard is being loaded.
+/// Marks as done the tasks that the chunk records as done. Tasks placed in this shard are left alone, because
+/// their workers report how they end. Waiting tasks are marked only while the shard is being loaded.
 void apply_done_bits(Job& job, const records::DoneBits& done, ProgressRead read) {
   const std::size_t first = std::size_t{done.chunk} * records::kChunk;
   for (std::size_t i = 0; i < done.bits.size() && first + i < job.tasks.size(); ++i) {
