--- a/src/core/state/shard.cpp
+++ b/src/core/state/shard.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-bool machine_sums_hold(const Machine& machine) {
+bool machine_sums_are_consistent(const Machine& machine) {
   Resources used;
   Resources being_released;
   int services = 0;
@@ -46,9 +46,9 @@
 
 }  // namespace
 
-bool Shard::sums_hold() const {
+bool Shard::sums_are_consistent() const {
   for (const auto& [name, machine] : machines)
-    if (!machine_sums_hold(machine)) return false;
+    if (!machine_sums_are_consistent(machine)) return false;
   std::map<std::string, std::uint32_t> present = count_present_placements(*this);
   for (const auto& [id, job] : jobs)
     if (job.present != present[id]) return false;
--- a/src/core/state/shard.h
+++ b/src/core/state/shard.h
@@ -151,7 +151,7 @@
   Quota quota_share(const std::string& team) const { return quota.share(team); }
   Quota free_quota_share(const std::string& team) const { return quota.free(team); }
   /// Whether all sums, of machines, jobs and quota, equal those counted afresh.
-  bool sums_hold() const;
+  bool sums_are_consistent() const;
 
  private:
   void count(Machine& machine, const AttemptId& id, const Placement& placement, int sign) {
--- a/tests/sim/simulated_controllers.cpp
+++ b/tests/sim/simulated_controllers.cpp
@@ -70,7 +70,7 @@
   deliver(host, incarnation, [](Controller& core) { core.tick(); });
   if (host.is_up() && host.incarnation == incarnation)
     for (const auto& [name, shard] : host.core->state().shards)
-      if (!shard.sums_hold()) ++inconsistent_sums_;
+      if (!shard.sums_are_consistent()) ++inconsistent_sums_;
   environment_.simulation.after(kTickEvery, [this, &host, incarnation] { tick(host, incarnation); });
 }
 
