--- a/src/core/state/final_states.cpp
+++ b/src/core/state/final_states.cpp
@@ -6,7 +6,7 @@
   const auto [found, is_new] = jobs_.try_emplace(job);
   if (!is_new) return found->second;
   order_.push_back({job, now});
-  while (order_.size() > kRemembered) {
+  while (order_.size() > kMaxRemembered) {
     const End& oldest = order_.front();
     forgotten_until_ = std::max(forgotten_until_, oldest.recorded_at);
     jobs_.erase(oldest.job);
--- a/src/core/state/final_states.h
+++ b/src/core/state/final_states.h
@@ -35,7 +35,7 @@
   bool remembers_since(Micros moment) const { return moment > forgotten_until_; }
   std::size_t size() const { return jobs_.size(); }
 
-  static constexpr std::size_t kRemembered = 4096;  ///< ends; the oldest are forgotten first
+  static constexpr std::size_t kMaxRemembered = 4096;  ///< ends; the oldest are forgotten first
 
  private:
   struct End {
--- a/tests/late_answer_test.cpp
+++ b/tests/late_answer_test.cpp
@@ -87,9 +87,9 @@
   const Micros asked = t.context.now;
   FinalStates& final_states = t.state.final_states;
   EXPECT_EQ(t.state.validity(t.shard, kTask.job, asked), Validity::current);
-  for (std::size_t i = 0; i <= FinalStates::kRemembered; ++i)
+  for (std::size_t i = 0; i <= FinalStates::kMaxRemembered; ++i)
     final_states.record_final("run-" + std::to_string(1000 + i), {}, asked + millis(1));
-  EXPECT_EQ(final_states.size(), FinalStates::kRemembered);
+  EXPECT_EQ(final_states.size(), FinalStates::kMaxRemembered);
   EXPECT_EQ(t.state.validity(t.shard, kTask.job, asked), Validity::uncertain);
   EXPECT_EQ(t.state.validity(t.shard, kTask.job, asked + millis(2)), Validity::current);
 }
