--- a/src/core/jobs/job_directory.cpp
+++ b/src/core/jobs/job_directory.cpp
@@ -15,7 +15,7 @@
     if (job.finalizing || job.ended) return std::nullopt;
     JobStatus status;
     status.done = job.done;
-    status.running = job.under_way();
+    status.running = job.tasks_in_progress();
     status.phase = status.running > 0 ? JobPhase::running : JobPhase::pending;
     return status;
   }
--- a/src/core/state/job.h
+++ b/src/core/state/job.h
@@ -93,7 +93,9 @@
       unrecorded.push_back(index);
   }
   /// Tasks that are neither done nor waiting: placed here, or awarded elsewhere.
-  std::uint32_t under_way() const { return static_cast<std::uint32_t>(tasks.size() - waiting.size()) - done; }
+  std::uint32_t tasks_in_progress() const {
+    return static_cast<std::uint32_t>(tasks.size() - waiting.size()) - done;
+  }
 };
 
 }  // namespace bendtide
