--- a/src/core/jobs/finished_task_recorder.cpp
+++ b/src/core/jobs/finished_task_recorder.cpp
@@ -134,7 +134,7 @@
   for (const std::uint32_t number : batch.slots) {
     DoneSlot& slot = shard.done_slots[number];
     if (response.ok())
-      slot.written(response.revision);
+      slot.on_written(response.revision);
     else if (response.outcome != Outcome::refused)
       slot.outcome_unknown = true;
   }
@@ -169,7 +169,7 @@
     current->finished_tasks_write.end();
     if (!response.ok() && response.outcome != Outcome::absent) return;
     const bool exists = !response.entries.empty();
-    current->done_slots[number].read(exists ? response.entries.front().revision : Revision{});
+    current->done_slots[number].on_read(exists ? response.entries.front().revision : Revision{});
   });
 }
 
--- a/src/core/state/done_slot.h
+++ b/src/core/state/done_slot.h
@@ -21,12 +21,12 @@
   bool dirty = false;                                      ///< to be written
   bool outcome_unknown = false;                            ///< a write got no answer: read the revision first
 
-  void written(Revision at) {
+  void on_written(Revision at) {
     revision = at;
     dirty = false;
   }
   /// What a read found; revision 0: no record.
-  void read(Revision found) {
+  void on_read(Revision found) {
     revision = found;
     outcome_unknown = false;
   }
