--- a/src/core/jobs/cancellations.cpp
+++ b/src/core/jobs/cancellations.cpp
@@ -37,13 +37,13 @@
 void Cancellations::forward_to(const std::string& host, const Cancellation& cancellation) {
   if (cancellation.origin == RequestOrigin::peer)
     return cancellation.respond(replies::unavailable(cancellation.job));
-  questions_.ask({host}, cancel_query(cancellation.job), kForwardTimeout, cancellation.respond);
+  queries_.send({host}, cancel_query(cancellation.job), kForwardTimeout, cancellation.respond);
 }
 
 void Cancellations::forward_to_all_peers(const Cancellation& cancellation) {
   if (cancellation.origin == RequestOrigin::peer)
     return cancellation.respond(replies::unavailable(cancellation.job));
-  questions_.ask_all_peers(cancel_query(cancellation.job), kForwardTimeout, cancellation.respond);
+  queries_.send_to_all_peers(cancel_query(cancellation.job), kForwardTimeout, cancellation.respond);
 }
 
 void Cancellations::on_live_record(const Cancellation& cancellation, const StoreResponse& response) {
--- a/src/core/jobs/cancellations.h
+++ b/src/core/jobs/cancellations.h
@@ -13,13 +13,9 @@
 /// the leader, or to all peers if the job's record can't be read.
 class Cancellations {
  public:
-  Cancellations(ControllerState& state, JobDirectory& directory, PeerQuestions& questions, JobPolls& polls,
+  Cancellations(ControllerState& state, JobDirectory& directory, PeerQueries& queries, JobPolls& polls,
                 FinalStateWriter& final_states)
-      : state_(state),
-        directory_(directory),
-        questions_(questions),
-        polls_(polls),
-        final_states_(final_states) {}
+      : state_(state), directory_(directory), queries_(queries), polls_(polls), final_states_(final_states) {}
 
   /// Replies with the final state, which is another than "cancelled" if the job ended otherwise before.
   void cancel(const std::string& job, const ReplyCallback& respond, RequestOrigin origin);
@@ -38,7 +34,7 @@
 
   ControllerState& state_;
   JobDirectory& directory_;
-  PeerQuestions& questions_;
+  PeerQueries& queries_;
   JobPolls& polls_;
   FinalStateWriter& final_states_;
 };
--- a/src/core/jobs/job_polls.cpp
+++ b/src/core/jobs/job_polls.cpp
@@ -32,11 +32,11 @@
   const std::string leader = directory_.leader_of(job);
   if (poll.origin == RequestOrigin::peer || leader == state_.self() || !state_.reachable(leader))
     return read(job, respond_to_all, poll.origin);
-  questions_.ask({leader}, poll_query(job, false), kLeaderTimeout,
-                 [this, job, respond_to_all](const UserReply& reply) {
-                   if (reply.status == 200) return respond_to_all(reply);
-                   read(job, respond_to_all, RequestOrigin::user);
-                 });
+  queries_.send({leader}, poll_query(job, false), kLeaderTimeout,
+                [this, job, respond_to_all](const UserReply& reply) {
+                  if (reply.status == 200) return respond_to_all(reply);
+                  read(job, respond_to_all, RequestOrigin::user);
+                });
 }
 
 void JobPolls::start_next(const SharedPoll& poll) {
@@ -85,7 +85,7 @@
   const std::string leader = state_.leader_of(record.shard);
   if (leader == state_.self() || read.origin == RequestOrigin::peer || !state_.reachable(leader))
     return read.respond(pending);
-  questions_.ask(
+  queries_.send(
       {leader}, poll_query(read.job, false), kLeaderTimeout,
       [read, pending](const UserReply& reply) { read.respond(reply.status == 200 ? reply : pending); });
 }
@@ -104,7 +104,7 @@
 
 void JobPolls::on_record_unavailable(const JobRead& read) {
   if (read.origin == RequestOrigin::peer) return read.respond(replies::unavailable(read.job));
-  questions_.ask_all_peers(poll_query(read.job, true), PeerQuestions::kForwardTimeout, read.respond);
+  queries_.send_to_all_peers(poll_query(read.job, true), PeerQueries::kForwardTimeout, read.respond);
 }
 
 }  // namespace bendtide
--- a/src/core/jobs/job_polls.h
+++ b/src/core/jobs/job_polls.h
@@ -6,14 +6,14 @@
 #include <vector>
 
 #include "core/jobs/job_directory.h"
-#include "core/jobs/peer_questions.h"
+#include "core/jobs/peer_queries.h"
 
 namespace bendtide {
 
 class JobPolls {
  public:
-  JobPolls(ControllerState& state, JobDirectory& directory, PeerQuestions& questions)
-      : state_(state), directory_(directory), questions_(questions) {}
+  JobPolls(ControllerState& state, JobDirectory& directory, PeerQueries& queries)
+      : state_(state), directory_(directory), queries_(queries) {}
 
   /// Replies with a job's status. Polls about one job that is not known here share their reads: one is in
   /// flight at a time, and polls that come meanwhile wait for the next, as the one in flight may be older
@@ -52,7 +52,7 @@
 
   ControllerState& state_;
   JobDirectory& directory_;
-  PeerQuestions& questions_;
+  PeerQueries& queries_;
   std::map<SharedPoll, std::vector<ReplyCallback>> polls_in_flight_;  ///< and those that wait for the next
 };
 
--- a/src/core/jobs/jobs.cpp
+++ b/src/core/jobs/jobs.cpp
@@ -7,16 +7,16 @@
 Jobs::Jobs(ControllerState& state, const Hooks& hooks)
     : state_(state),
       directory_(state),
-      questions_(state),
-      polls_(state, directory_, questions_),
+      queries_(state),
+      polls_(state, directory_, queries_),
       final_states_(state, directory_, hooks.invalidate_leases),
-      cancellations_(state, directory_, questions_, polls_, final_states_),
+      cancellations_(state, directory_, queries_, polls_, final_states_),
       unfinished_jobs_(state, directory_),
-      submissions_(state, directory_, questions_, polls_, unfinished_jobs_, hooks),
+      submissions_(state, directory_, queries_, polls_, unfinished_jobs_, hooks),
       recorder_(state, hooks.invalidate_leases) {}
 
 void Jobs::tick() {
-  questions_.expire();
+  queries_.expire();
   submissions_.give_up_unwritable();
   if (!state_.lease_valid()) return;
   submissions_.write_queued();
@@ -62,7 +62,7 @@
   }
 }
 
-void Jobs::on_reply(const JobReply& reply) { questions_.on_reply(reply); }
+void Jobs::on_reply(const JobReply& reply) { queries_.on_reply(reply); }
 
 ReplyCallback Jobs::reply_to_user(std::uint64_t request) {
   return [this, request](const UserReply& reply) {
--- a/src/core/jobs/jobs.h
+++ b/src/core/jobs/jobs.h
@@ -1,7 +1,7 @@
 // Jobs as users and peers know them: the front of the classes in this folder.
 //
 //   JobDirectory          what is known of jobs without a read
-//   PeerQuestions         requests forwarded to peers
+//   PeerQueries         requests forwarded to peers
 //   JobPolls              polls, and reads of a job's records
 //   Submissions           acceptance of jobs
 //   Cancellations         cancellations
@@ -53,7 +53,7 @@
 
   ControllerState& state_;
   JobDirectory directory_;
-  PeerQuestions questions_;
+  PeerQueries queries_;
   JobPolls polls_;
   FinalStateWriter final_states_;
   Cancellations cancellations_;
--- a/src/core/jobs/peer_questions.cpp
+++ b/src/core/jobs/peer_queries.cpp
@@ -1,27 +1,27 @@
-#include "core/jobs/peer_questions.h"
+#include "core/jobs/peer_queries.h"
 
 namespace bendtide {
 
-PeerQuestions::PeerQuestions(ControllerState& state)
+PeerQueries::PeerQueries(ControllerState& state)
     : state_(state),
       // Random, as a reply to a query of an earlier process of this host must not match one of this process.
       next_id_(state.context.random() >> 8) {}
 
-void PeerQuestions::ask(const std::vector<std::string>& hosts, JobQuery query, Micros timeout,
-                        ReplyCallback respond) {
+void PeerQueries::send(const std::vector<std::string>& hosts, JobQuery query, Micros timeout,
+                       ReplyCallback respond) {
   if (hosts.empty() || pending_.size() >= kMaxPending) return respond(replies::unavailable(query.job));
   query.id = next_id_++;
   pending_[query.id] = {state_.now() + timeout, hosts.size(), query.job, std::move(respond)};
   for (const std::string& host : hosts) state_.context.act(PeerSend{host, query});
 }
 
-void PeerQuestions::ask_all_peers(JobQuery query, Micros timeout, ReplyCallback respond) {
+void PeerQueries::send_to_all_peers(JobQuery query, Micros timeout, ReplyCallback respond) {
   std::vector<std::string> hosts;
   for (const Peer& peer : state_.context.settings.peers) hosts.push_back(peer.host);
-  ask(hosts, std::move(query), timeout, std::move(respond));
+  send(hosts, std::move(query), timeout, std::move(respond));
 }
 
-void PeerQuestions::on_reply(const JobReply& reply) {
+void PeerQueries::on_reply(const JobReply& reply) {
   const auto found = pending_.find(reply.id);
   if (found == pending_.end()) return;
   if (reply.status == 503 && --found->second.outstanding > 0) return;
@@ -38,7 +38,7 @@
   query.respond(out);
 }
 
-void PeerQuestions::expire() {
+void PeerQueries::expire() {
   std::vector<std::uint64_t> expired;
   for (const auto& [id, query] : pending_)
     if (state_.now() >= query.expires_at) expired.push_back(id);
--- a/src/core/jobs/peer_questions.h
+++ b/src/core/jobs/peer_queries.h
@@ -13,17 +13,17 @@
 
 /// Sends queries to peers and matches their replies. Each query is answered once: by the first reply that is
 /// not "unavailable", or with "unavailable" when all peers have replied so or the time is up.
-class PeerQuestions {
+class PeerQueries {
  public:
-  explicit PeerQuestions(ControllerState& state);
+  explicit PeerQueries(ControllerState& state);
 
   /// How long a peer has to serve a forwarded request.
   static constexpr Micros kForwardTimeout = seconds(1.2);
 
   /// Sends `query` to all `hosts`. Without hosts, or with too many queries pending, replies at once.
-  void ask(const std::vector<std::string>& hosts, JobQuery query, Micros timeout, ReplyCallback respond);
+  void send(const std::vector<std::string>& hosts, JobQuery query, Micros timeout, ReplyCallback respond);
   /// The same, sent to every peer.
-  void ask_all_peers(JobQuery query, Micros timeout, ReplyCallback respond);
+  void send_to_all_peers(JobQuery query, Micros timeout, ReplyCallback respond);
   void on_reply(const JobReply& reply);
   /// Replies "unavailable" to queries whose time is up.
   void expire();
--- a/src/core/jobs/submissions.cpp
+++ b/src/core/jobs/submissions.cpp
@@ -51,8 +51,8 @@
   if (const auto known = directory_.known_status(job)) return respond(replies::status(job, *known));
   if (!can_accept()) {
     if (origin == RequestOrigin::peer) return respond(replies::unavailable(job));
-    return questions_.ask_all_peers({0, JobQuery::Kind::submit, job, false, spec},
-                                    PeerQuestions::kForwardTimeout, std::move(respond));
+    return queries_.send_to_all_peers({0, JobQuery::Kind::submit, job, false, spec},
+                                      PeerQueries::kForwardTimeout, std::move(respond));
   }
   if (const auto reason = reason_to_reject(spec))
     return refuse(replies::refusal(job, 422, *reason), std::move(respond), origin);
--- a/src/core/jobs/submissions.h
+++ b/src/core/jobs/submissions.h
@@ -22,11 +22,11 @@
     std::function<void(Shard&)> schedule;     ///< jobs were accepted into the shard
     std::function<void()> invalidate_leases;  ///< a conflict: another controller may lead the shard
   };
-  Submissions(ControllerState& state, JobDirectory& directory, PeerQuestions& questions, JobPolls& polls,
+  Submissions(ControllerState& state, JobDirectory& directory, PeerQueries& queries, JobPolls& polls,
               UnfinishedJobReader& reader, Hooks hooks)
       : state_(state),
         directory_(directory),
-        questions_(questions),
+        queries_(queries),
         polls_(polls),
         reader_(reader),
         hooks_(std::move(hooks)) {}
@@ -72,7 +72,7 @@
 
   ControllerState& state_;
   JobDirectory& directory_;
-  PeerQuestions& questions_;
+  PeerQueries& queries_;
   JobPolls& polls_;
   UnfinishedJobReader& reader_;
   Hooks hooks_;
