--- a/src/core/jobs/cancellations.cpp
+++ b/src/core/jobs/cancellations.cpp
@@ -59,7 +59,8 @@
   const std::string leader = state_.leader_of(record->shard);
   if (leader != state_.self()) return forward_to(leader, cancellation);
   Shard* shard = state_.ready_shard(record->shard);
-  Job* job = shard == nullptr ? nullptr : directory_.load_if_current(*shard, *record, cancellation.asked_at);
+  Job* job =
+      shard == nullptr ? nullptr : directory_.load_if_current(*shard, *record, cancellation.requested_at);
   if (job == nullptr) return cancellation.respond(replies::unavailable(cancellation.job));
   cancel_here(cancellation, *shard, *job);
 }
--- a/src/core/jobs/cancellations.h
+++ b/src/core/jobs/cancellations.h
@@ -24,7 +24,7 @@
   struct Cancellation {
     std::string job;
     RequestOrigin origin = RequestOrigin::peer;
-    Micros asked_at{0};  ///< steady clock
+    Micros requested_at{0};  ///< steady clock
     ReplyCallback respond;
   };
   void cancel_here(const Cancellation& cancellation, Shard& shard, Job& job);
--- a/src/core/jobs/job_directory.cpp
+++ b/src/core/jobs/job_directory.cpp
@@ -83,8 +83,8 @@
   return job;
 }
 
-Job* JobDirectory::load_if_current(Shard& shard, const records::LiveJob& record, Micros asked_at) {
-  return state_.may_act_on(shard, record.spec.id, asked_at) ? &load(shard, record) : nullptr;
+Job* JobDirectory::load_if_current(Shard& shard, const records::LiveJob& record, Micros requested_at) {
+  return state_.may_act_on(shard, record.spec.id, requested_at) ? &load(shard, record) : nullptr;
 }
 
 }  // namespace bendtide
--- a/src/core/jobs/job_directory.h
+++ b/src/core/jobs/job_directory.h
@@ -39,9 +39,9 @@
   /// Adds a job to a shard, with all tasks waiting, unless the shard has it.
   static Job& load(Shard& shard, const records::LiveJob& record);
 
-  /// Loads a job shown as unfinished by a response to a request made at `asked_at` (steady clock); null if
-  /// that may be outdated.
-  Job* load_if_current(Shard& shard, const records::LiveJob& record, Micros asked_at);
+  /// Loads a job shown as unfinished by a response to a request made at `requested_at` (steady clock); null
+  /// if that may be outdated.
+  Job* load_if_current(Shard& shard, const records::LiveJob& record, Micros requested_at);
 
  private:
   static constexpr std::size_t kShardsRemembered = 4096;
--- a/src/core/jobs/job_polls.h
+++ b/src/core/jobs/job_polls.h
@@ -37,7 +37,7 @@
   /// A request to be answered from the records of a job.
   struct JobRead {
     std::string job;
-    Micros asked_at{0};  ///< steady clock
+    Micros requested_at{0};  ///< steady clock
     RequestOrigin origin = RequestOrigin::peer;
     ReplyCallback respond;
   };
--- a/src/core/jobs/submissions.cpp
+++ b/src/core/jobs/submissions.cpp
@@ -141,7 +141,8 @@
                           .detail("team", spec.team)
                           .detail("revision", response.revision.value()));
   Shard* shard = state_.shard_in_term(batch.shard, batch.leadership_term);
-  if (shard != nullptr && directory_.load_if_current(*shard, submission.record, batch.asked_at) == nullptr)
+  if (shard != nullptr &&
+      directory_.load_if_current(*shard, submission.record, batch.requested_at) == nullptr)
     reader_.read_soon(*shard);
   const std::optional<JobStatus> known = directory_.known_status(spec.id);
   for (const ReplyCallback& respond : submission.callbacks) {
--- a/src/core/jobs/submissions.h
+++ b/src/core/jobs/submissions.h
@@ -50,7 +50,7 @@
   struct Batch {
     std::string shard;
     LeadershipTerm leadership_term = 0;
-    Micros asked_at{0};  ///< when the write was requested; steady clock
+    Micros requested_at{0};  ///< when the write was requested; steady clock
     std::vector<Submission> submissions;
   };
 
--- a/src/core/jobs/unfinished_job_reader.cpp
+++ b/src/core/jobs/unfinished_job_reader.cpp
@@ -16,9 +16,9 @@
   shard.unfinished_jobs_read.begin();
   shard.unfinished_jobs_read.schedule(state_.now() + kReadInterval);
   state_.store.list(records::kLivePrefix, [this, name = shard.name, leadership_term = shard.leadership_term,
-                                           asked_at = state_.now()](const StoreResponse& response) {
+                                           requested_at = state_.now()](const StoreResponse& response) {
     Shard* current = state_.shard_in_term(name, leadership_term);
-    if (current != nullptr) on_records(*current, asked_at, response);
+    if (current != nullptr) on_records(*current, requested_at, response);
   });
 }
 
@@ -26,13 +26,13 @@
   shard.unfinished_jobs_read.bring_forward(state_.now() + kReadSoon);
 }
 
-void UnfinishedJobReader::on_records(Shard& shard, Micros asked_at, const StoreResponse& response) {
+void UnfinishedJobReader::on_records(Shard& shard, Micros requested_at, const StoreResponse& response) {
   shard.unfinished_jobs_read.end();
   if (!response.ok()) return;
   for (const KeyValue& entry : response.entries) {
     const auto record = records::live_job(entry.value);
     if (!record) log_unreadable(state_.context, entry.key, record.error());
-    if (record && record->shard == shard.name) directory_.load_if_current(shard, *record, asked_at);
+    if (record && record->shard == shard.name) directory_.load_if_current(shard, *record, requested_at);
   }
 }
 
--- a/src/core/jobs/unfinished_job_reader.h
+++ b/src/core/jobs/unfinished_job_reader.h
@@ -16,7 +16,7 @@
   void read_soon(Shard& shard);
 
  private:
-  void on_records(Shard& shard, Micros asked_at, const StoreResponse& response);
+  void on_records(Shard& shard, Micros requested_at, const StoreResponse& response);
 
   ControllerState& state_;
   JobDirectory& directory_;
