--- a/src/core/jobs/cancellations.cpp
+++ b/src/core/jobs/cancellations.cpp
@@ -55,7 +55,7 @@
     log_unreadable(state_.context, records::live_key(cancellation.job), record.error());
     return forward_to_all_peers(cancellation);
   }
-  directory_.learn_shard(*record);
+  directory_.remember_shard(*record);
   const std::string leader = state_.leader_of(record->shard);
   if (leader != state_.self()) return forward_to(leader, cancellation);
   Shard* shard = state_.ready_shard(record->shard);
--- a/src/core/jobs/job_directory.cpp
+++ b/src/core/jobs/job_directory.cpp
@@ -32,7 +32,7 @@
   return nullptr;
 }
 
-UserReply JobDirectory::newest(const UserReply& reply) const {
+UserReply JobDirectory::replace_if_outdated(const UserReply& reply) const {
   const std::optional<FinalState> final_state = state_.final_states.final_state(reply.id);
   if (!final_state || reply.status == 503) return reply;
   const bool shows_phase = reply.status == 200 || reply.status == 201;
@@ -47,7 +47,7 @@
   return replies::status(reply.id, {final_state->phase, final_state->done, 0});
 }
 
-void JobDirectory::learn_shard(const records::LiveJob& record) {
+void JobDirectory::remember_shard(const records::LiveJob& record) {
   if (state_.final_states.has_ended(record.spec.id)) return;
   if (shard_of_.size() >= kShardsRemembered) shard_of_.clear();
   shard_of_[record.spec.id] = record.shard;
--- a/src/core/jobs/job_directory.h
+++ b/src/core/jobs/job_directory.h
@@ -24,10 +24,10 @@
 
   /// The reply itself, unless the job is known to be final and the reply is older than that. Every reply
   /// passes through here on its way out, so that no reply is older than a final state that is known here.
-  UserReply newest(const UserReply& reply) const;
+  UserReply replace_if_outdated(const UserReply& reply) const;
 
   /// Remembers the shard of an unfinished job, as just read from its record.
-  void learn_shard(const records::LiveJob& record);
+  void remember_shard(const records::LiveJob& record);
 
   /// The host that leads the job's shard; this host if the shard is not known.
   std::string leader_of(const std::string& job) const;
--- a/src/core/jobs/job_polls.cpp
+++ b/src/core/jobs/job_polls.cpp
@@ -73,7 +73,7 @@
   }
   // It has ended since it was read; the next read shows how.
   if (state_.final_states.has_ended(read.job)) return read.respond(replies::unavailable(read.job));
-  directory_.learn_shard(*record);
+  directory_.remember_shard(*record);
   if (Shard* shard = state_.ready_shard(record->shard))
     directory_.load_if_current(*shard, *record, read.requested_at);
   reply_with_unfinished(read, *record);
--- a/src/core/jobs/jobs.cpp
+++ b/src/core/jobs/jobs.cpp
@@ -66,7 +66,7 @@
 
 ReplyCallback Jobs::reply_to_user(std::uint64_t request) {
   return [this, request](const UserReply& reply) {
-    const UserReply newest = directory_.newest(reply);
+    const UserReply newest = directory_.replace_if_outdated(reply);
     state_.context.debug([&] {
       return LogMessage("request answered")
           .job(newest.id)
@@ -82,7 +82,7 @@
 
 ReplyCallback Jobs::reply_to_peer(const std::string& host, std::uint64_t query) {
   return [this, host, query](const UserReply& reply) {
-    const UserReply newest = directory_.newest(reply);
+    const UserReply newest = directory_.replace_if_outdated(reply);
     state_.context.act(PeerSend{host, JobReply{query, static_cast<std::uint32_t>(newest.status), newest.phase,
                                                newest.done, newest.running}});
   };
--- a/src/core/jobs/jobs.h
+++ b/src/core/jobs/jobs.h
@@ -45,7 +45,7 @@
   /// Adds a job to a shard that is being loaded.
   static Job& load(Shard& shard, const records::LiveJob& record) { return JobDirectory::load(shard, record); }
   /// Remembers the shard of an unfinished job, as just read from its record.
-  void learn_shard(const records::LiveJob& record) { directory_.learn_shard(record); }
+  void learn_shard(const records::LiveJob& record) { directory_.remember_shard(record); }
 
  private:
   ReplyCallback reply_to_user(std::uint64_t request);
