--- a/src/core/jobs/jobs.cpp
+++ b/src/core/jobs/jobs.cpp
@@ -17,7 +17,7 @@
 
 void Jobs::tick() {
   queries_.expire();
-  submissions_.give_up_unwritable();
+  submissions_.fail_unwritable();
   if (!state_.lease_valid()) return;
   submissions_.write_queued();
   for (auto& [name, shard] : state_.shards) {
--- a/src/core/jobs/submissions.cpp
+++ b/src/core/jobs/submissions.cpp
@@ -187,7 +187,7 @@
         RequestOrigin::user);
 }
 
-void Submissions::give_up_unwritable() {
+void Submissions::fail_unwritable() {
   const bool can_write = state_.ready_shard(state_.self()) != nullptr && !state_.store.failing();
   while (!queued_.empty() && !can_write) {
     const Submission& submission = queued_.front();
--- a/src/core/jobs/submissions.h
+++ b/src/core/jobs/submissions.h
@@ -38,7 +38,7 @@
   /// Writes queued submissions, as far as the limit of writes in flight allows.
   void write_queued();
   /// Replies "unavailable" to queued submissions while they can't be written.
-  void give_up_unwritable();
+  void fail_unwritable();
 
  private:
   /// A submission that is not accepted yet, and the callers that wait for it.
