--- a/src/core/state/shard.cpp
+++ b/src/core/state/shard.cpp
@@ -17,7 +17,7 @@
   return used == machine.used && being_released == machine.being_released && services == machine.services;
 }
 
-QuotaUsage count_usage_afresh(const Shard& shard) {
+QuotaUsage recompute_usage(const Shard& shard) {
   QuotaUsage usage;
   for (const auto& [name, machine] : shard.machines) {
     if (!machine.reconciled) {
@@ -35,8 +35,8 @@
   return usage;
 }
 
-/// Placements that take room, by job.
-std::map<std::string, std::uint32_t> count_present_placements(const Shard& shard) {
+/// Counts the placements of known jobs that take resources, by job id.
+std::map<std::string, std::uint32_t> count_placements_by_job(const Shard& shard) {
   std::map<std::string, std::uint32_t> present;
   for (const auto& [name, machine] : shard.machines)
     for (const auto& [id, placement] : machine.tasks)
@@ -49,10 +49,10 @@
 bool Shard::sums_are_consistent() const {
   for (const auto& [name, machine] : machines)
     if (!machine_sums_are_consistent(machine)) return false;
-  std::map<std::string, std::uint32_t> present = count_present_placements(*this);
+  std::map<std::string, std::uint32_t> present = count_placements_by_job(*this);
   for (const auto& [id, job] : jobs)
     if (job.present != present[id]) return false;
-  QuotaUsage usage = count_usage_afresh(*this);
+  QuotaUsage usage = recompute_usage(*this);
   for (const auto& [team, sum] : quota.usage.by_team)
     if (sum != usage.by_team[team]) return false;
   return usage.by_unknown_jobs == quota.usage.by_unknown_jobs &&
--- a/src/core/state/shard.h
+++ b/src/core/state/shard.h
@@ -1,4 +1,4 @@
-// One shard of the cluster as its leader sees it: jobs, machines, and the share of each team's quota.
+// The state of one shard of the cluster, as held by its leader: jobs, machines and quota shares.
 #pragma once
 
 #include <algorithm>
@@ -20,61 +20,69 @@
 
 namespace bendtide {
 
-/// A job that has tasks to start, with what decides on its position in the queue of its shard
-/// (placement/queue_order.h).
+/// A job that has tasks to start, with the values that determine its position in the queue of its shard
+/// (see placement/queue_order.h).
 struct QueueEntry {
   Job* job = nullptr;
-  int missed_objectives = 0;  ///< that it can't meet any more; -1 if its first task is overdue
-  Micros start_by{0};         ///< wall clock; the latest start for the next objective that it can meet
-  bool guaranteed = false;    ///< one more task of it is within the guarantee of its team
+  /// Number of objectives that the job can no longer meet; -1 if its first task is overdue.
+  int missed_objectives = 0;
+  Micros start_by{0};       ///< wall clock; the latest start that meets the next objective still achievable
+  bool guaranteed = false;  ///< its team's guarantee covers one more task of the job
 };
 
+/// The state of a shard during one leadership term. Times are on the steady clock.
 struct Shard {
   enum class Stage : std::uint8_t { loading, ready };
   std::string name;
   FencingToken fencing_token = 0;
-  FencingToken first_fencing_token = 0;  ///< of this term: a status that shows a lower one is from before it
+  /// The first fencing token of this leadership term. A status that shows a lower token was sent before the
+  /// term began.
+  FencingToken first_fencing_token = 0;
   LeadershipTerm leadership_term = 0;
-  Micros acquired_at{0};  ///< steady clock
+  Micros acquired_at{0};
   Stage stage = Stage::loading;
   TokenAdvance token_advance;
 
   QuotaLedger quota;
-  AwardFreshness award_freshness;        ///< of the awards to this shard
-  PeriodicRequest award_read;            ///< of the awards to this shard
-  PeriodicRequest progress_read;         ///< of what other shards did of jobs of this one
-  PeriodicRequest unfinished_jobs_read;  ///< finds jobs whose acceptance got no answer
-  PeriodicRequest finished_tasks_write;
+  AwardFreshness award_freshness;        ///< how long the awards to this shard may be acted on
+  PeriodicRequest award_read;            ///< reads the awards to this shard
+  PeriodicRequest progress_read;         ///< reads which tasks of this shard's jobs other shards finished
+  PeriodicRequest unfinished_jobs_read;  ///< finds jobs whose acceptance write got no response
+  PeriodicRequest finished_tasks_write;  ///< records the tasks that finished in this shard
 
-  std::map<std::string, Job> jobs;
-  std::map<std::string, Machine> machines;
-  std::uint64_t starts = 0;  ///< numbers the attempts of this leadership term
+  std::map<std::string, Job> jobs;          ///< by job id
+  std::map<std::string, Machine> machines;  ///< by name
+  std::uint64_t starts = 0;                 ///< number of attempts made in this leadership term
 
-  std::vector<QueueEntry> queue;  ///< as of the last pass
-  Micros next_pass{0};            ///< steady clock; the next scheduling pass, zero if something has changed
-  Micros next_watch{0};           ///< when to look for failed machines again
-  std::map<std::string, Micros> cut_zones;  ///< zones that can't be reached, and since when
-  Micros cut_over{0};                       ///< when one of them was last reached again
-  bool has_unreconciled_jobs = false;       ///< jobs were loaded, and not all machines are reconciled yet
-  std::vector<std::string> push;            ///< machines to push commands to
-  std::vector<std::string> ended_jobs;      ///< until no attempt of them is left
-  std::map<std::uint32_t, DoneSlot> done_slots;
-  std::map<std::uint32_t, OwnershipBlock> ownership_blocks;
-  std::vector<UnreachableMachine> handover;  ///< from the last leader, until the shard is loaded
+  std::vector<QueueEntry> queue;  ///< as of the last scheduling pass
+  Micros next_pass{0};            ///< time of the next scheduling pass; 0 if a change requires one at once
+  Micros next_watch{0};           ///< time of the next check for failed machines
+  std::map<std::string, Micros> cut_zones;  ///< unreachable zones, with the time at which each became so
+  Micros cut_over{0};                       ///< when an unreachable zone last became reachable again
+  /// Jobs were loaded from the key-value store, and some machines are not reconciled yet.
+  bool has_unreconciled_jobs = false;
+  std::vector<std::string> push;        ///< names of the machines with `push_pending`
+  std::vector<std::string> ended_jobs;  ///< ids of ended jobs that may still have attempts to be stopped
+  std::map<std::uint32_t, DoneSlot> done_slots;              ///< by slot number
+  std::map<std::uint32_t, OwnershipBlock> ownership_blocks;  ///< by block number
+  /// The unreachable machines reported by the previous leader at a lease transfer; empty once the shard is
+  /// loaded.
+  std::vector<UnreachableMachine> handover;
 
   bool ready() const { return stage == Stage::ready; }
+  /// Requests a scheduling pass as soon as possible.
   void changed() { next_pass = Micros{0}; }
-  /// Commands are to be pushed to the machine with the next push_commands.
+  /// Adds the machine to those that the next push_commands pushes commands to.
   void request_push(Machine& machine) {
     if (std::exchange(machine.push_pending, true)) return;
     push.push_back(machine.name);
   }
-  /// The job of a task; null if the shard has no such job, or the job no such task.
+  /// Returns the job of a task; null if the shard has no such job or the job has no such task.
   Job* job_of(const TaskId& task) {
     const auto found = jobs.find(task.job);
     return found == jobs.end() || task.index >= found->second.tasks.size() ? nullptr : &found->second;
   }
-  /// Ended: nothing of it may start, and all of it has to go.
+  /// Marks the job as ended: none of its tasks may start, and all of its attempts are to be stopped.
   void end(Job& job) {
     if (std::exchange(job.ended, true)) return;
     ended_jobs.push_back(job.spec.id);
@@ -82,35 +90,39 @@
   bool all_reconciled() const {
     return std::all_of(machines.begin(), machines.end(), [](const auto& m) { return m.second.reconciled; });
   }
-  /// An award may have been taken back, and its job cancelled, since the awards were last read.
+  /// Returns whether the job was awarded by another shard and the awards are no longer valid: the owner may
+  /// have withdrawn the award, or cancelled the job, since the awards were last read.
   bool award_is_stale(const Job& job, Micros now) const {
     return !job.owner.empty() && !award_freshness.is_valid(now);
   }
-  /// Whether tasks of the job may be started. Asked right before a placement: a term may have ended, and
-  /// begun again without a word from the key-value store, since the queue was made.
+  /// Returns whether tasks of the job may be started. Must be checked immediately before each placement:
+  /// since the queue was built, a leadership term may have ended and another begun without any response from
+  /// the key-value store.
   bool may_start(const Job& job, Micros now) const {
     return job.can_start(now) && !job.unreconciled && !award_is_stale(job, now);
   }
-  /// Unique among all attempts that were ever made: fencing tokens are, and they grow.
+  /// Returns a number that is unique among all attempts ever made, since fencing tokens are unique and grow.
   std::uint64_t next_attempt() { return (fencing_token.value() << 16) + ++starts; }
 
-  // ---- sums, kept as things change ---------------------------------------------------------------
+  // ---- sums, updated with each change ------------------------------------------------------------
 
-  /// Changes a placement by `modify`, and all sums with it.
+  /// Applies `modify` to a placement and updates all sums.
   template <class Modify>
   void change(Machine& machine, const AttemptId& id, Placement& placement, Modify&& modify) {
     count(machine, id, placement, -1);
     modify(placement);
     count(machine, id, placement, 1);
   }
-  /// A new placement of a task; it counts for its team, or for every team if the job is not known.
+  /// Adds a placement of a task. It counts against the quota of the job's team, or of every team if `job` is
+  /// null (unknown).
   Placement& place(Machine& machine, const AttemptId& id, Job* job) {
     Placement& placement = machine.tasks[id];
     identify(placement, machine, job);
     count(machine, id, placement, 1);
     return placement;
   }
-  /// Makes it a placement of the job, or of an unknown one if `job` is null: that takes the whole machine.
+  /// Assigns the placement to a job. A null `job` stands for an unknown job, whose placement counts as using
+  /// the whole machine.
   void identify(Placement& placement, const Machine& machine, const Job* job) {
     placement.of_known_job = job != nullptr;
     if (job == nullptr) {
@@ -137,7 +149,7 @@
     machine.reconciled = reconciled;
     count_usage(machine, 1);
   }
-  /// Adds (sign 1) or takes away (-1) a machine and the tasks on it in the sums of the shard.
+  /// Adds the machine and its tasks to the quota usage of the shard (sign 1) or subtracts them (sign -1).
   void count_usage(const Machine& machine, int sign) {
     if (!machine.reconciled) {
       quota.usage.unreconciled += quota_of(machine.size) * sign;
@@ -150,7 +162,7 @@
   Quota used(const std::string& team) const { return quota.usage.of(team); }
   Quota quota_share(const std::string& team) const { return quota.share(team); }
   Quota free_quota_share(const std::string& team) const { return quota.free(team); }
-  /// Whether all sums, of machines, jobs and quota, equal those counted afresh.
+  /// Returns whether all sums of machines, jobs and quota equal the values recomputed from the placements.
   bool sums_are_consistent() const;
 
  private:
