--- a/src/core/state/job.h
+++ b/src/core/state/job.h
@@ -1,4 +1,4 @@
-// A job of a shard, and what has become of its tasks.
+// A job in a shard and the states of its tasks.
 #pragma once
 
 #include <map>
@@ -12,68 +12,73 @@
 
 struct Machine;
 
+/// The state of one task of a job, as known to the leader of the shard.
 struct Task {
   enum class State : std::uint8_t {
-    waiting,   ///< to be started
-    placed,    ///< on `machine`, as far as its leader knows
-    done,      ///< finished, and recorded or about to be
-    elsewhere  ///< awarded to another shard, or not among those awarded to this one
+    waiting,   ///< not started yet
+    placed,    ///< on `machine`, as far as the leader knows
+    done,      ///< finished; its completion is recorded or will be
+    elsewhere  ///< awarded to another shard, or not among the tasks awarded to this one
   };
   State state = State::waiting;
   Machine* machine = nullptr;
-  std::uint64_t attempt = 0;  ///< number of its present attempt; others are to be stopped
+  std::uint64_t attempt = 0;  ///< number of the current attempt; all others are to be stopped
 };
 
-/// A job with all of its tasks; or, of another shard's job, those tasks that were awarded to this shard.
+/// A job that belongs to this shard, or the part of another shard's job whose tasks were awarded to this one.
 struct Job {
   JobSpec spec;
   Micros accepted{0};  ///< wall clock
-  std::string owner;   ///< the shard whose job it is, if tasks were awarded here; empty: this shard
-  bool unreconciled =
-      false;                ///< loaded by a new leader: its tasks may be on machines that are not reconciled
-  bool finalizing = false;  ///< the write of its final state is in flight
-  bool ended = false;       ///< no task of it may start, and all attempts are to be stopped
+  std::string owner;   ///< the shard that the job belongs to; empty if that is this shard
+  /// The job was loaded by a new leader, and its tasks may be on machines that are not reconciled yet.
+  bool unreconciled = false;
+  bool finalizing = false;  ///< the write of its final state is in flight, or its outcome is unknown
+  bool ended = false;       ///< none of its tasks may start, and all attempts are to be stopped
   std::vector<Task> tasks;
-  std::vector<std::uint32_t> waiting;  ///< exactly the tasks in state waiting
-  std::uint32_t done = 0;
-  std::vector<bool> recorded;             ///< tasks whose end the key-value store holds
-  std::vector<std::uint32_t> unrecorded;  ///< done, but not in the key-value store yet
-  std::uint32_t present = 0;              ///< placements of it, of any attempt, that take resources
-  std::set<std::string> failed_on;        ///< machines on which a task of it failed
-  bool succeeded = false;                 ///< whether any task of it is done
-  Micros retry_at{0};                     ///< steady clock; nothing of it is started before
-  int failures = 0;                       ///< of its tasks, in all; the pause before a retry grows with them
+  std::vector<std::uint32_t> waiting;  ///< indexes of exactly the tasks in state `waiting`
+  std::uint32_t done = 0;              ///< number of tasks in state `done`
+  std::vector<bool> recorded;          ///< by task index: its completion is recorded in the key-value store
+  std::vector<std::uint32_t> unrecorded;  ///< indexes of done tasks not yet recorded in the key-value store
+  std::uint32_t present = 0;              ///< number of its placements that take resources
+  std::set<std::string> failed_on;        ///< names of the machines on which a task of the job failed
+  bool succeeded = false;                 ///< at least one task is done
+  Micros retry_at{0};  ///< steady clock; no task is started, and the job not ended as done, before this
+  int failures = 0;    ///< total task failures; the backoff before a retry grows with it
 
-  // ---- contract net
+  // ---- contract net: negotiation with other shards
 
-  /// Keys of its award records, and the winning shards. At the owner: all awards of its tasks; elsewhere: the
-  /// awards to that shard.
+  /// Winning shards by the key of the award record. At the owner: all awards of the job's tasks. At any other
+  /// shard: the awards to that shard.
   std::map<std::string, std::string> awards;
-  std::uint32_t tasks_in_award = 0;  ///< tasks in an award whose write is under way, at the owner
-  Micros next_call{0};               ///< steady clock: not to call for proposals before
-  /// The last call for proposals found no capacity in other shards, or can't be made: machines are to be
-  /// created.
+  std::uint32_t tasks_in_award = 0;  ///< at the owner: number of tasks in award writes in flight
+  Micros next_call{0};               ///< steady clock; the earliest time of the next call for proposals
+  /// The last call for proposals found no capacity in other shards, or no call can be made, so that machines
+  /// have to be created.
   bool refused = false;
 
-  // found out by the last scheduling pass and the last scale out
-  std::uint32_t overflow = 0;          ///< tasks that found no capacity in this shard
-  bool quota_share_exhausted = false;  ///< the shard's share of the team's quota does not allow more tasks
-  bool only_where_cached = false;      ///< capacity is being released on a machine that caches its image
-  bool no_offering = false;            ///< the cloud offers no machine for it at present
+  // ---- results of the last scheduling pass and the last scale-out
 
-  /// Whether any task of it has been placed or is done.
+  std::uint32_t overflow = 0;          ///< number of tasks for which this shard has no capacity
+  bool quota_share_exhausted = false;  ///< the shard's share of the team's quota allows no more tasks
+  /// Tasks may be placed only on machines that cache the image: once lower-priority tasks there have stopped,
+  /// the job starts sooner than it would anywhere else after a fetch.
+  bool only_where_cached = false;
+  bool no_offering = false;  ///< the cloud currently offers no machine that suits the job
+
+  /// Returns whether any task has been placed or is done.
   bool begun() const { return done > 0 || present > 0 || waiting.size() < tasks.size(); }
   bool can_start(Micros now) const { return !ended && !finalizing && !waiting.empty() && now >= retry_at; }
-  /// A job that failed on several machines and never succeeded is taken to be faulty itself: it gets one
-  /// attempt at a time.
+  /// Returns whether the job itself is presumed faulty, because it failed on two or more machines and no task
+  /// of it succeeded. Such a job is limited to one attempt at a time.
   bool suspect() const { return !succeeded && failed_on.size() >= 2; }
+  /// Wall clock; Micros::max() if the job has no deadline.
   Micros due() const { return spec.deadline ? accepted + *spec.deadline : Micros::max(); }
 
   void set_waiting(std::uint32_t index) {
     tasks[index] = {};
     waiting.push_back(index);
   }
-  /// Moves a task from `waiting` to any other state.
+  /// Moves a task from state `waiting` to the state of `next`.
   void leave_waiting(std::uint32_t index, Task next) {
     if (!waiting.empty() && waiting.back() == index)
       waiting.pop_back();
@@ -92,7 +97,7 @@
     else
       unrecorded.push_back(index);
   }
-  /// Tasks that are neither done nor waiting: placed here, or awarded elsewhere.
+  /// Number of tasks that are neither done nor waiting: placed in this shard, or awarded to another.
   std::uint32_t tasks_in_progress() const {
     return static_cast<std::uint32_t>(tasks.size() - waiting.size()) - done;
   }
