--- a/src/core/state/machine.h
+++ b/src/core/state/machine.h
@@ -1,7 +1,7 @@
-// A machine of a shard, and the tasks on it.
+// A machine of a shard and the tasks placed on it.
 //
-// The safety of "a task runs on one machine at a time" rests on Placement: one exists for as long as the
-// task may be on that machine, and a task is placed again only once its placement is gone.
+// Placement ensures that a task runs on at most one machine at a time: a placement exists for as long as the
+// task may be on that machine, and a task is placed again only after its placement has been removed.
 #pragma once
 
 #include <map>
@@ -19,38 +19,39 @@
 
 namespace bendtide {
 
-/// A worker may hold several attempts of one task: an old one that ended beside the one that runs.
+/// Identifies one attempt to run a task. A worker may hold several attempts of the same task: ended ones in
+/// addition to the running one.
 struct AttemptId {
   TaskId task;
   std::uint64_t attempt = 0;
   auto operator<=>(const AttemptId&) const = default;
 };
 
-/// A task that is, or may be, on a machine. `wanted`, `seen` and `each` are changed through Shard::change
-/// only, which keeps the sums. Times are of the steady clock.
+/// An attempt that is, or may be, on a machine. `wanted`, `seen` and `each` must be changed only through
+/// Shard::change, which updates the sums. Times are on the steady clock.
 struct Placement {
   enum class Seen : std::uint8_t { no, fetching, running, saving, ended };
-  bool wanted = true;
-  Seen seen = Seen::no;  ///< as its worker last reported
+  bool wanted = true;    ///< false once the attempt is to be stopped
+  Seen seen = Seen::no;  ///< the state that the worker last reported
   ExitCause cause = ExitCause::none;
-  Resources each;
-  Quota* usage = nullptr;  ///< the sum it counts in: of its team, or of tasks whose job is not known
+  Resources each;          ///< resources that the task takes
+  Quota* usage = nullptr;  ///< the sum that includes it: that of its team, or that of unknown jobs
   bool of_known_job = false;
   bool of_service = false;
-  Micros ends_at{Micros::max()};     ///< expected, once it runs and if it ends by itself
-  std::uint64_t last_listed_in = 0;  ///< sequence number of the last status of the worker that lists it
+  Micros ends_at{Micros::max()};     ///< expected end, if the task is running and ends by itself
+  std::uint64_t last_listed_in = 0;  ///< sequence number of the worker's last status that lists the attempt
   std::string image;
   double image_gb = 0;
   Micros placed_at{0};
   Micros running_since{0};
-  Micros stop_requested_at{0};  ///< when a stop was first sent; 0: not yet
+  Micros stop_requested_at{0};  ///< when a stop was first sent; 0 if none was
   StartDelivery start;
 
-  /// Whether it takes resources of its machine.
+  /// Returns whether the attempt takes resources of its machine.
   bool takes_resources() const { return seen != Seen::ended; }
 };
 
-/// Times are of the steady clock unless noted otherwise.
+/// A machine owned by a shard, as known to the leader. Times are on the steady clock unless noted otherwise.
 struct Machine {
   std::string name;
   std::string address;
@@ -58,33 +59,34 @@
   std::string zone;
   bool spot = false;
   Resources size;
-  Resources used;            ///< by tasks that take resources
-  Resources being_released;  ///< by those of them that are no longer wanted
-  int services = 0;          ///< number of the tasks that run until they are cancelled
-  Micros rented_at{0};       ///< wall clock
-  std::uint32_t ownership_block = 0;
-  bool in_use = false;  ///< its ownership record names its address: only then may anything be started on it
+  Resources used;                     ///< by attempts that take resources
+  Resources being_released;           ///< the part of `used` taken by attempts that are no longer wanted
+  int services = 0;                   ///< number of service tasks, which run until they are cancelled
+  Micros rented_at{0};                ///< wall clock
+  std::uint32_t ownership_block = 0;  ///< number of the ownership record that names the machine
+  bool in_use = false;  ///< the ownership record contains the address; no task may be started before that
 
   Liveness liveness;
   Acknowledgements acknowledgements;
   MachineLifecycle lifecycle;
-  bool reconciled = false;  ///< its tasks are all known: a status has come, or its lease ran out
+  bool reconciled = false;  ///< all its tasks are known: a status was received, or its lease expired
   Micros idle_since{0};
-  Micros needed_at{0};                ///< when it last had anything that is not best-effort
-  std::set<std::string> failed_jobs;  ///< whose tasks failed on it since its last success
-  bool push_in_flight = false;        ///< a command request to it is under way
-  bool push_pending = false;          ///< it is in the shard's list of machines to push commands to
+  Micros needed_at{0};                ///< when it last had a task that is not best-effort
+  std::set<std::string> failed_jobs;  ///< ids of jobs whose tasks failed on it since its last success
+  bool push_in_flight = false;        ///< a pushed command request to it is in flight
+  bool push_pending = false;          ///< it is in Shard::push
   std::map<AttemptId, Placement> tasks;
   ImageCache images;
 
   Resources free() const { return size - used; }
   bool idle() const { return tasks.empty(); }
-  /// Its worker has begun, or will begin, this incarnation; what it sent in an earlier one counts no more.
+  /// Records that the worker has begun, or will begin, this incarnation. Messages that it sent in an earlier
+  /// incarnation are ignored from now on.
   void begin_incarnation(std::uint64_t number) {
     liveness.begin_incarnation(number);
     acknowledgements.forget_reply();
   }
-  /// Resources of tasks that are no longer wanted, or are expected to end by `when`.
+  /// Returns the resources of attempts that are no longer wanted or are expected to end by `when`.
   Resources released_by(Micros when) const {
     Resources released;
     for (const auto& [id, placement] : tasks)
@@ -94,7 +96,7 @@
   }
 };
 
-/// `record`: of the machine in its ownership record.
+/// Creates a machine from its entry in an ownership record.
 inline Machine machine_from(const records::OwnedMachine& record) {
   Machine machine;
   machine.name = record.name;
