--- a/src/core/state/acknowledgements.h
+++ b/src/core/state/acknowledgements.h
@@ -1,4 +1,4 @@
-// Whether what is sent to a worker reaches it, as far as its heartbeats and responses show.
+// Whether messages sent to a worker reach it, judged by its heartbeats and responses.
 #pragma once
 
 #include <optional>
@@ -8,18 +8,20 @@
 
 namespace bendtide {
 
-/// Evidence is counted against a machine that goes on to send heartbeats but acknowledges nothing; anything
-/// that it acknowledges voids all of it. Times are of the steady clock.
+/// Tracks whether a machine acknowledges the messages sent to it. Evidence that it is unreachable accumulates
+/// while the machine keeps sending heartbeats but acknowledges nothing; any acknowledgement clears all
+/// evidence. Times are on the steady clock.
 class Acknowledgements {
  public:
-  static constexpr int kWeakEvidence = 1;    ///< one message seems not to have arrived
-  static constexpr int kStrongEvidence = 2;  ///< several can't have arrived
+  static constexpr int kWeakEvidence = 1;    ///< weight if one message appears not to have arrived
+  static constexpr int kStrongEvidence = 2;  ///< weight if several messages cannot have arrived
 
-  /// Weight of evidence, since anything was last acknowledged, that nothing arrives.
+  /// Total weight of the evidence since the last acknowledgement that no message arrives.
   int missed() const { return missed_; }
-  /// Nothing that is sent arrives. One message may always come too late, hence the limit.
+  /// Returns whether the machine is taken to be unreachable. A single message may arrive late at any time, so
+  /// one piece of evidence is not enough.
   bool unreachable() const { return missed_ >= kMissedLimit; }
-  /// One more piece of evidence may make it unreachable.
+  /// Returns whether the machine is unreachable or one more piece of evidence may make it so.
   bool doubtful() const { return missed_ >= kMissedLimit - 1; }
   bool any_evidence() const { return missed_ > 0 || lost_pushes_ > 0; }
   void add_missed(int weight) { missed_ += weight; }
@@ -31,11 +33,11 @@
 
   // ---- fencing tokens --------------------------------------------------------------------------------
 
-  /// When it was sent a fencing token of this leadership term that it has not shown since, if it was. What
-  /// was surely lost does not count.
+  /// When the machine was first sent a fencing token of this leadership term that it has not acknowledged
+  /// since; none if no acknowledgement is awaited. Messages known to be lost do not count.
   std::optional<Micros> token_sent_at() const { return token_sent_at_; }
   void token_sent(Micros now) { token_sent_at_ = token_sent_at_.value_or(now); }
-  /// The wait for the token begins anew.
+  /// Restarts the wait for the acknowledgement of the token.
   void restart_token_wait(Micros now) { token_sent_at_ = now; }
   FencingToken acknowledged_token() const { return acknowledged_token_; }
   void set_acknowledged_token(FencingToken token) { acknowledged_token_ = token; }
@@ -47,7 +49,8 @@
     reply_token_ = token;
     reply_sent_at_ = now;
   }
-  /// The last heartbeat that was replied to with commands and whose reply awaits its effect; 0: none.
+  /// Sequence number of the last heartbeat that was replied to with commands, if it is not known yet whether
+  /// the reply took effect; 0 if there is none.
   std::uint64_t replied_heartbeat() const { return replied_heartbeat_; }
   FencingToken reply_token() const { return reply_token_; }
   Micros reply_sent_at() const { return reply_sent_at_; }
@@ -55,14 +58,16 @@
 
   // ---- pushed commands ---------------------------------------------------------------------------------
 
-  /// A push, sent at `sent_at`, got no response. `counts`: it is evidence once a heartbeat follows it.
+  /// Records that a push sent at `sent_at` got no response. If `counts`, the lost push becomes evidence once
+  /// a heartbeat follows it.
   void push_got_no_response(Micros sent_at, bool counts) {
     push_lost_ = counts;
     if (token_sent_at_ == sent_at) token_sent_at_.reset();
   }
-  /// Whether a push was lost since the last heartbeat; asked when the next one comes.
+  /// Returns whether a push was lost since the last heartbeat, and resets that. Called for each heartbeat.
   bool take_push_lost() { return std::exchange(push_lost_, false); }
-  /// Counts a lost push that was followed by a heartbeat; true if there were enough of them to be evidence.
+  /// Counts a lost push that was followed by a heartbeat. Returns true if there have been enough of them to
+  /// be evidence.
   bool count_lost_push() { return ++lost_pushes_ >= kLostPushLimit; }
 
  private:
@@ -70,10 +75,10 @@
   static constexpr int kLostPushLimit = 2;
 
   int missed_ = 0;
-  int lost_pushes_ = 0;  ///< in a row, each followed by a heartbeat
+  int lost_pushes_ = 0;  ///< consecutive lost pushes, each followed by a heartbeat
   bool push_lost_ = false;
   std::optional<Micros> token_sent_at_;
-  FencingToken acknowledged_token_ = 0;  ///< in its newest status
+  FencingToken acknowledged_token_ = 0;  ///< the token shown in the machine's newest status
   std::uint64_t replied_heartbeat_ = 0;
   FencingToken reply_token_ = 0;
   Micros reply_sent_at_{0};
