--- a/src/core/state/image_cache.h
+++ b/src/core/state/image_cache.h
@@ -1,4 +1,4 @@
-// The images that a machine has cached, as far as its controller knows.
+// The controller's model of the images cached on a machine.
 #pragma once
 
 #include <algorithm>
@@ -9,14 +9,14 @@
 
 namespace bendtide {
 
-/// A model of the worker's own cache: it keeps the images used last, as many as fit.
+/// Models the worker's image cache, which keeps the most recently used images that fit.
 class ImageCache {
  public:
   bool contains(const std::string& image) const { return images_.contains(image); }
-  /// `now`: steady clock.
+  /// Records that an image of `gb` gigabytes is used at `now` (steady clock).
   void record_use(const std::string& image, double gb, Micros now) { images_[image] = {now, gb}; }
   void clear() { images_.clear(); }
-  /// Drops the images used longest ago until the others fit.
+  /// Drops the least recently used images until the remaining ones fit into the capacity.
   void trim(double capacity_gb) {
     double total = 0;
     for (const auto& [name, image] : images_) total += image.gb;
