--- a/src/core/state/machine_lifecycle.h
+++ b/src/core/state/machine_lifecycle.h
@@ -1,4 +1,4 @@
-// Whether a machine may be given tasks, and whether it is on its way out.
+// Whether a machine may be given tasks, and whether it is being removed.
 #pragma once
 
 #include <optional>
@@ -7,14 +7,14 @@
 
 namespace bendtide {
 
-/// Times are of the steady clock. A machine that is quarantined, decommissioned or about to be preempted
-/// never gets tasks again; one that is cordoned gets none for a while.
+/// A machine that is quarantined, decommissioned or about to be preempted never gets tasks again; a cordoned
+/// machine gets none until the cordon ends. Times are on the steady clock.
 struct MachineLifecycle {
-  bool quarantined = false;                       ///< taken to be faulty
-  Micros cordoned_until{0};                       ///< it refused a task lately
-  std::optional<Micros> preemption_notice_until;  ///< the cloud takes it away then
-  bool decommissioned = false;                    ///< to be deleted
-  bool deleting = false;                          ///< the call that deletes it is under way
+  bool quarantined = false;  ///< presumed faulty
+  Micros cordoned_until{0};  ///< end of the cordon that was set when the machine refused a task
+  std::optional<Micros> preemption_notice_until;  ///< when the cloud will preempt the machine, if announced
+  bool decommissioned = false;                    ///< the machine is to be deleted
+  bool deleting = false;                          ///< the deletion request to the cloud is in flight
 
   bool accepts_tasks(Micros now) const {
     return !decommissioned && !quarantined && !preemption_notice_until && now >= cordoned_until;
