--- a/src/core/state/ownership_block.h
+++ b/src/core/state/ownership_block.h
@@ -1,4 +1,4 @@
-// The state of one ownership record of a shard, at its leader.
+// The state of one ownership record of a shard, as held by its leader.
 #pragma once
 
 #include <algorithm>
@@ -8,20 +8,21 @@
 
 namespace bendtide {
 
-/// One record that names several machines of the shard.
+/// An ownership record, which lists several machines of the shard.
 struct OwnershipBlock {
+  /// The urgency of the next write of the record; later enumerators are more urgent.
   enum class Rewrite : std::uint8_t {
-    none,        ///< the record is as it should be
-    eventually,  ///< it names machines that are gone
-    soon         ///< machines came up, and are used once it names their addresses
+    none,        ///< the record is up to date
+    eventually,  ///< the record lists machines that no longer exist
+    soon         ///< new machines have started, which can't be used until the record contains their addresses
   };
   Revision revision = 0;
   Rewrite rewrite = Rewrite::none;
-  bool writing = false;          ///< a write is under way
-  bool outcome_unknown = false;  ///< a write got no answer: the record has to be read again
+  bool writing = false;          ///< a write is in flight
+  bool outcome_unknown = false;  ///< a write got no response: the record has to be read again
 
   void request_rewrite(Rewrite urgency) { rewrite = std::max(rewrite, urgency); }
-  /// Whether it is to be rewritten, with this urgency at least, and can be.
+  /// Returns whether a rewrite of at least this urgency is requested and can be made now.
   bool may_be_rewritten(Rewrite least_urgency) const {
     return rewrite >= least_urgency && !writing && !outcome_unknown;
   }
