--- a/src/core/state/periodic_request.h
+++ b/src/core/state/periodic_request.h
@@ -1,4 +1,4 @@
-// Requests to the key-value store that are repeated at intervals.
+// The schedule of a request to the key-value store that is repeated at intervals.
 #pragma once
 
 #include <algorithm>
@@ -7,8 +7,8 @@
 
 namespace bendtide {
 
-/// When a request that is repeated may be made next: at most one is in flight, and none before its time. All
-/// times are of the steady clock.
+/// Determines when a repeated request may be made next. At most one request is in flight, and none is made
+/// before its scheduled time. Times are on the steady clock.
 class PeriodicRequest {
  public:
   bool due(Micros now) const { return !in_flight_ && now >= next_at_; }
@@ -16,9 +16,9 @@
 
   void begin() { in_flight_ = true; }
   void end() { in_flight_ = false; }
-  /// No request before `moment`.
+  /// Schedules the next request for `moment`.
   void schedule(Micros moment) { next_at_ = moment; }
-  /// The next request as soon as `moment`, unless it is due earlier.
+  /// Moves the next request forward to `moment`, unless it is already scheduled earlier.
   void bring_forward(Micros moment) { next_at_ = std::min(next_at_, moment); }
 
  private:
