--- a/src/core/jobs/replies.h
+++ b/src/core/jobs/replies.h
@@ -1,4 +1,4 @@
-// Replies to requests about jobs: how each is put together, and who receives it.
+// Construction of the replies to requests about jobs.
 #pragma once
 
 #include <cstdint>
@@ -12,15 +12,15 @@
 /// Receives the reply to one request; called exactly once.
 using ReplyCallback = std::function<void(const UserReply&)>;
 
-/// Where a request about a job came from. Only a user's request may be forwarded to peers: one that a peer
-/// has forwarded is answered here, so that no request is forwarded twice.
+/// The sender of a request about a job. Only a user's request may be forwarded to peers. A request forwarded
+/// by a peer is answered by this controller, so that no request is forwarded twice.
 enum class RequestOrigin : std::uint8_t { user, peer };
 
-/// What a user may be told of a job.
+/// The status of a job as shown to users.
 struct JobStatus {
   JobPhase phase = JobPhase::pending;
-  std::uint64_t done = 0;     ///< tasks
-  std::uint64_t running = 0;  ///< tasks, including those awarded to other shards
+  std::uint64_t done = 0;     ///< number of finished tasks
+  std::uint64_t running = 0;  ///< number of tasks in progress, including those awarded to other shards
 };
 
 namespace replies {
@@ -31,12 +31,12 @@
 
 inline UserReply no_such_job(const std::string& job) { return {404, job, {}, 0, 0, 0, "no such job"}; }
 
-/// The request can't be answered or carried out now; its sender may repeat it.
+/// The request can't be answered or carried out now. The sender may retry it after `retry_after_s` seconds.
 inline UserReply unavailable(const std::string& job, int retry_after_s = 1) {
   return {503, job, {}, 0, 0, retry_after_s, "not able to tell now"};
 }
 
-/// The request is refused for good, with HTTP status `http_status`.
+/// The request is permanently refused with HTTP status `http_status`.
 inline UserReply refusal(const std::string& job, int http_status, const std::string& reason) {
   return {http_status, job, {}, 0, 0, 0, reason};
 }
