--- a/src/core/jobs/job_directory.cpp
+++ b/src/core/jobs/job_directory.cpp
@@ -11,7 +11,7 @@
     const auto found = shard.jobs.find(job_id);
     if (found == shard.jobs.end() || !found->second.owner.empty()) continue;
     const Job& job = found->second;
-    // While the write of its final state is in flight, only the key-value store knows its status.
+    // While the write of the final state is in flight, only the key-value store knows the job's status.
     if (job.finalizing || job.ended) return std::nullopt;
     JobStatus status;
     status.done = job.done;
@@ -49,7 +49,7 @@
 
 void JobDirectory::remember_shard(const records::LiveJob& record) {
   if (state_.final_states.has_ended(record.spec.id)) return;
-  if (shard_of_.size() >= kShardsRemembered) shard_of_.clear();
+  if (shard_of_.size() >= kMaxRememberedShards) shard_of_.clear();
   shard_of_[record.spec.id] = record.shard;
 }
 
