--- a/src/core/jobs/peer_queries.cpp
+++ b/src/core/jobs/peer_queries.cpp
@@ -4,7 +4,8 @@
 
 PeerQueries::PeerQueries(ControllerState& state)
     : state_(state),
-      // Random, as a reply to a query of an earlier process of this host must not match one of this process.
+      // Ids start at a random number: a reply to a query of an earlier process on this host must not match a
+      // query of this process.
       next_id_(state.context.random() >> 8) {}
 
 void PeerQueries::send(const std::vector<std::string>& hosts, JobQuery query, Micros timeout,
--- a/src/core/jobs/peer_queries.h
+++ b/src/core/jobs/peer_queries.h
@@ -1,4 +1,4 @@
-// Requests that this controller forwards to its peers on behalf of users.
+// Queries by which this controller forwards users' requests to its peers.
 #pragma once
 
 #include <cstdint>
@@ -11,8 +11,9 @@
 
 namespace bendtide {
 
-/// Sends queries to peers and matches their replies. Each query is answered once: by the first reply that is
-/// not "unavailable", or with "unavailable" when all peers have replied so or the time is up.
+/// Sends queries to peers and matches their replies. Each query is answered exactly once: with the first
+/// reply that is not "unavailable", or with "unavailable" once all queried peers have replied so or the query
+/// has timed out.
 class PeerQueries {
  public:
   explicit PeerQueries(ControllerState& state);
@@ -20,22 +21,23 @@
   /// How long a peer has to serve a forwarded request.
   static constexpr Micros kForwardTimeout = seconds(1.2);
 
-  /// Sends `query` to all `hosts`. Without hosts, or with too many queries pending, replies at once.
+  /// Sends `query` to all `hosts`. Replies "unavailable" at once if `hosts` is empty or too many queries are
+  /// pending.
   void send(const std::vector<std::string>& hosts, JobQuery query, Micros timeout, ReplyCallback respond);
-  /// The same, sent to every peer.
+  /// Sends `query` to every peer, like send().
   void send_to_all_peers(JobQuery query, Micros timeout, ReplyCallback respond);
   void on_reply(const JobReply& reply);
-  /// Replies "unavailable" to queries whose time is up.
+  /// Replies "unavailable" to queries that have timed out.
   void expire();
 
  private:
   struct PendingQuery {
-    Micros expires_at{0};  ///< steady clock
-    std::size_t outstanding = 0;
+    Micros expires_at{0};         ///< steady clock
+    std::size_t outstanding = 0;  ///< number of hosts that have not replied
     std::string job;
     ReplyCallback respond;
   };
-  static constexpr std::size_t kMaxPending = 512;
+  static constexpr std::size_t kMaxPending = 512;  ///< queries
 
   ControllerState& state_;
   std::map<std::uint64_t, PendingQuery> pending_;  ///< by query id
