--- a/src/core/jobs/job_polls.cpp
+++ b/src/core/jobs/job_polls.cpp
@@ -8,9 +8,12 @@
 
 namespace {
 
+/// How long the leader of a job has to reply before the job's records are used instead.
 constexpr Micros kLeaderTimeout = millis(400);
 
-JobQuery poll_query(const std::string& job, bool fresh) { return {0, JobQuery::Kind::poll, job, fresh, {}}; }
+JobQuery make_poll_query(const std::string& job, bool fresh) {
+  return {0, JobQuery::Kind::poll, job, fresh, {}};
+}
 
 }  // namespace
 
@@ -32,7 +35,7 @@
   const std::string leader = directory_.leader_of(job);
   if (poll.origin == RequestOrigin::peer || leader == state_.self() || !state_.reachable(leader))
     return read(job, respond_to_all, poll.origin);
-  queries_.send({leader}, poll_query(job, false), kLeaderTimeout,
+  queries_.send({leader}, make_poll_query(job, false), kLeaderTimeout,
                 [this, job, respond_to_all](const UserReply& reply) {
                   if (reply.status == 200) return respond_to_all(reply);
                   read(job, respond_to_all, RequestOrigin::user);
@@ -60,7 +63,8 @@
 
 void JobPolls::on_live_record(const JobRead& read, const StoreResponse& response) {
   if (response.outcome == Outcome::absent) {
-    // Not unfinished at that moment: final since before, or never accepted.
+    // The job had no record of an unfinished job at the time of the read: it was already final, or was never
+    // accepted.
     state_.store.get(records::final_job_key(read.job), [this, read](const StoreResponse& final_response) {
       on_final_record(read, final_response);
     });
@@ -71,7 +75,7 @@
     log_unreadable(state_.context, records::live_key(read.job), record.error());
     return on_record_unavailable(read);
   }
-  // It has ended since it was read; the next read shows how.
+  // The job has ended since the record was read; the next read finds its final state.
   if (state_.final_states.has_ended(read.job)) return read.respond(replies::unavailable(read.job));
   directory_.remember_shard(*record);
   if (Shard* shard = state_.ready_shard(record->shard))
@@ -79,14 +83,15 @@
   reply_with_unfinished(read, *record);
 }
 
-/// The record is fresh, so that "pending" is right in any case; the leader knows how many tasks are done.
+/// The record was just read, so "pending" is a correct reply in any case. Only the leader of the job's shard
+/// knows how many tasks are running or done, so it is queried first if it is reachable.
 void JobPolls::reply_with_unfinished(const JobRead& read, const records::LiveJob& record) {
   const UserReply pending = replies::status(read.job, {});
   const std::string leader = state_.leader_of(record.shard);
   if (leader == state_.self() || read.origin == RequestOrigin::peer || !state_.reachable(leader))
     return read.respond(pending);
   queries_.send(
-      {leader}, poll_query(read.job, false), kLeaderTimeout,
+      {leader}, make_poll_query(read.job, false), kLeaderTimeout,
       [read, pending](const UserReply& reply) { read.respond(reply.status == 200 ? reply : pending); });
 }
 
@@ -104,7 +109,7 @@
 
 void JobPolls::on_record_unavailable(const JobRead& read) {
   if (read.origin == RequestOrigin::peer) return read.respond(replies::unavailable(read.job));
-  queries_.send_to_all_peers(poll_query(read.job, true), PeerQueries::kForwardTimeout, read.respond);
+  queries_.send_to_all_peers(make_poll_query(read.job, true), PeerQueries::kForwardTimeout, read.respond);
 }
 
 }  // namespace bendtide
--- a/src/core/jobs/job_polls.h
+++ b/src/core/jobs/job_polls.h
@@ -1,4 +1,4 @@
-// Polls: what users are told of a job, from memory, from its leader, or from its records.
+// Polls of the status of jobs.
 #pragma once
 
 #include <map>
@@ -10,22 +10,24 @@
 
 namespace bendtide {
 
+/// Answers polls from memory, by querying the leader of the job's shard, or from the job's records in the
+/// key-value store.
 class JobPolls {
  public:
   JobPolls(ControllerState& state, JobDirectory& directory, PeerQueries& queries)
       : state_(state), directory_(directory), queries_(queries) {}
 
-  /// Replies with a job's status. Polls about one job that is not known here share their reads: one is in
-  /// flight at a time, and polls that come meanwhile wait for the next, as the one in flight may be older
-  /// than what their users have been told already.
+  /// Replies with a job's status. Polls for a job whose status is not known to this controller share reads:
+  /// one read is in flight at a time, and polls that arrive in the meantime wait for the next one, because
+  /// the result of the read in flight may be older than what their users have already been told.
   void poll(const std::string& job, ReplyCallback respond, RequestOrigin origin);
 
-  /// Replies with a job's status as its records show it: those of unfinished jobs first, then those of final
-  /// ones. If the records can't be read, a user's request is forwarded to peers.
+  /// Replies with a job's status from its records: first the record of unfinished jobs is read, then that of
+  /// final ones. If the records can't be read, a user's request is forwarded to peers.
   void read(const std::string& job, const ReplyCallback& respond, RequestOrigin origin);
 
  private:
-  /// Polls of one origin about one job.
+  /// Identifies polls that share a read: polls of one origin for one job.
   struct SharedPoll {
     std::string job;
     RequestOrigin origin = RequestOrigin::peer;
@@ -43,17 +45,18 @@
   };
   void on_live_record(const JobRead& read, const StoreResponse& response);
   void on_final_record(const JobRead& read, const StoreResponse& response);
-  /// The key-value store does not answer this controller, but may answer a peer; and the leader of the job
-  /// knows it without.
+  /// Forwards a user's request to all peers: the key-value store may respond to one of them, and the leader
+  /// of the job's shard knows the status without reading it.
   void on_record_unavailable(const JobRead& read);
   void reply_with_unfinished(const JobRead& read, const records::LiveJob& record);
 
-  static constexpr std::size_t kMaxWaiting = 512;
+  static constexpr std::size_t kMaxWaiting = 512;  ///< polls that may wait for one shared read
 
   ControllerState& state_;
   JobDirectory& directory_;
   PeerQueries& queries_;
-  std::map<SharedPoll, std::vector<ReplyCallback>> polls_in_flight_;  ///< and those that wait for the next
+  /// The polls in flight, each with the callers that wait for the next one.
+  std::map<SharedPoll, std::vector<ReplyCallback>> polls_in_flight_;
 };
 
 }  // namespace bendtide
