--- a/src/core/jobs/submissions.cpp
+++ b/src/core/jobs/submissions.cpp
@@ -8,10 +8,11 @@
 
 namespace {
 
-/// Submissions may wait for the budget of writes this long; later ones are asked to come again.
+/// The queue holds as many submissions as the write budget of the key-value store serves in this time.
+/// Further submissions are told to retry later.
 constexpr double kMaxWaitSeconds = 1.5;
-constexpr double kMinQueueLength = 8;
-constexpr int kRetryAfterWhenFull = 2;  ///< seconds
+constexpr double kMinQueueLength = 8;          ///< capacity of the queue even if the write budget is smaller
+constexpr int kRetryAfterSecondsWhenFull = 2;  ///< when the queue is full
 
 }  // namespace
 
@@ -60,7 +61,7 @@
     callers->push_back(std::move(respond));
     return;
   }
-  if (queued_.size() >= max_queued()) return respond(replies::unavailable(job, kRetryAfterWhenFull));
+  if (queued_.size() >= max_queued()) return respond(replies::unavailable(job, kRetryAfterSecondsWhenFull));
   queued_.push_back({{state_.self(), spec, state_.context.wall}, {std::move(respond)}});
   write_queued();
 }
@@ -93,7 +94,7 @@
   }
 }
 
-/// Takes submissions that have gathered while others were written out of the queue.
+/// Removes up to one transaction's worth of submissions from the queue, to be written together.
 Submissions::Batch Submissions::take_batch(const Shard& shard) {
   const std::size_t max_jobs = std::max<std::size_t>(1, state_.context.settings.store_transaction_writes / 2);
   Batch batch{shard.name, shard.leadership_term, state_.now(), {}};
@@ -105,7 +106,8 @@
   return batch;
 }
 
-/// Accepts all jobs of the batch, or none: each must be neither unfinished nor final already.
+/// Returns a transaction that accepts either all jobs of the batch or none. It fails if any of them already
+/// has a record, unfinished or final.
 Transaction Submissions::transaction_for(const Shard& shard, const Batch& batch) const {
   Transaction transaction;
   transaction.compares = {state_.fenced_by(shard)};
@@ -130,8 +132,9 @@
   if (shard != nullptr && state_.lease_valid() && shard->ready()) hooks_.schedule(*shard);
 }
 
-/// The response may be late: since the write, the job may have been found by its record, and even have been
-/// cancelled and forgotten. Then it must not begin anew, and the reply must not show it as just accepted.
+/// The response may be late. Since the write, the job may have been found by its record, and may even have
+/// been cancelled and forgotten. In that case it must not be started again, and the reply must not show it as
+/// just accepted.
 void Submissions::accept(Submission& submission, const Batch& batch, const StoreResponse& response) {
   const JobSpec& spec = submission.record.spec;
   state_.context.info(LogMessage("job accepted")
@@ -157,25 +160,26 @@
   const bool conflict = response.outcome == Outcome::conflict;
   if (conflict) hooks_.invalidate_leases();
   Shard* shard = state_.shard_in_term(batch.shard, batch.leadership_term);
-  // Without an answer the jobs may have been accepted, or may be yet.
+  // Without a response, the jobs may have been accepted or may still be.
   if (response.outcome == Outcome::unknown && shard != nullptr) reader_.read_soon(*shard);
-  const bool only_jobs_failed =
+  const bool only_jobs_conflicted =
       conflict && !response.failed.empty() && !response.failed_at(records::lease_key(batch.shard));
   for (Submission& submission : batch.submissions) {
     const std::string& job = submission.record.spec.id;
-    const bool may_be_known = batch.submissions.size() == 1 || response.failed_at(records::live_key(job)) ||
-                              response.failed_at(records::final_job_key(job));
-    if (conflict && may_be_known) {
+    const bool may_be_accepted = batch.submissions.size() == 1 ||
+                                 response.failed_at(records::live_key(job)) ||
+                                 response.failed_at(records::final_job_key(job));
+    if (conflict && may_be_accepted) {
       reply_from_records(submission);
-    } else if (only_jobs_failed) {
-      queued_.push_front(std::move(submission));  // another job of the batch was known
+    } else if (only_jobs_conflicted) {
+      queued_.push_front(std::move(submission));  // only another job of the batch caused the conflict
     } else {
       for (const ReplyCallback& respond : submission.callbacks) respond(replies::unavailable(job));
     }
   }
 }
 
-/// The job was accepted before, or the shard is no longer led here.
+/// Called if the job was accepted earlier, or this controller no longer leads the shard.
 void Submissions::reply_from_records(const Submission& submission) {
   const std::string& job = submission.record.spec.id;
   for (const ReplyCallback& respond : submission.callbacks)
--- a/src/core/jobs/submissions.h
+++ b/src/core/jobs/submissions.h
@@ -1,4 +1,4 @@
-// Submissions of jobs: checked, gathered, and written to the key-value store in batches.
+// Validation of job submissions and their writes to the key-value store in batches.
 #pragma once
 
 #include <deque>
@@ -13,14 +13,15 @@
 
 namespace bendtide {
 
-/// Accepts jobs into this controller's own shard. A job's id is its idempotency key: a repeated submission is
-/// answered with the job's status. A job is accepted once its record is written; where the outcome of that
-/// write is unknown, a later poll, a repeated submission or UnfinishedJobReader finds the job.
+/// Accepts jobs into this controller's own shard. The job id is the idempotency key: a repeated submission is
+/// answered with the job's status. A job is accepted once its record is written. If the outcome of that write
+/// is unknown, a later poll, a repeated submission or UnfinishedJobReader finds the job.
 class Submissions {
  public:
   struct Hooks {
-    std::function<void(Shard&)> schedule;     ///< jobs were accepted into the shard
-    std::function<void()> invalidate_leases;  ///< a conflict: another controller may lead the shard
+    std::function<void(Shard&)> schedule;  ///< called after jobs were accepted into the shard
+    /// Called on a conflict, because another controller may lead the shard.
+    std::function<void()> invalidate_leases;
   };
   Submissions(ControllerState& state, JobDirectory& directory, PeerQueries& queries, JobPolls& polls,
               UnfinishedJobReader& reader, Hooks hooks)
@@ -31,17 +32,18 @@
         reader_(reader),
         hooks_(std::move(hooks)) {}
 
+  /// Replies with the job's status once it is accepted, or with the reason why it is not.
   void submit(const JobSpec& spec, ReplyCallback respond, RequestOrigin origin);
-  /// Replies with `refusal`, unless the job was accepted before, perhaps under other settings or with another
-  /// body: then it stays accepted, and the reply shows its status.
+  /// Replies with `refusal`, unless the job was accepted earlier, perhaps under other settings or with
+  /// another request body. In that case the job stays accepted, and the reply shows its status.
   void refuse(const UserReply& refusal, ReplyCallback respond, RequestOrigin origin);
-  /// Writes queued submissions, as far as the limit of writes in flight allows.
+  /// Writes queued submissions, up to the limit of writes in flight.
   void write_queued();
-  /// Replies "unavailable" to queued submissions while they can't be written.
+  /// Replies "unavailable" to all queued submissions if they can't be written at present.
   void fail_unwritable();
 
  private:
-  /// A submission that is not accepted yet, and the callers that wait for it.
+  /// A submission that is not accepted yet, with the callers waiting for it.
   struct Submission {
     records::LiveJob record;
     std::vector<ReplyCallback> callbacks;
@@ -50,14 +52,15 @@
   struct Batch {
     std::string shard;
     LeadershipTerm leadership_term = 0;
-    Micros requested_at{0};  ///< when the write was requested; steady clock
+    Micros requested_at{0};  ///< steady clock; when the write was requested
     std::vector<Submission> submissions;
   };
 
   bool can_accept() const;
-  /// Why a job can never run here; none if it can.
+  /// Returns why the job can never run in this cluster; none if it can.
   std::optional<std::string> reason_to_reject(const JobSpec& spec) const;
-  /// The callers that wait for a submission which is queued or being written; null if there is none.
+  /// Returns the callers waiting for the submission of a job that is queued or being written; null if there
+  /// is no such submission.
   std::vector<ReplyCallback>* callers_of(const std::string& job);
   std::size_t max_queued() const;
 
@@ -77,7 +80,7 @@
   UnfinishedJobReader& reader_;
   Hooks hooks_;
   std::deque<Submission> queued_;
-  /// Jobs being written, and the callers that have submitted them again since.
+  /// By id of each job being written: the callers that have submitted it again in the meantime.
   std::map<std::string, std::vector<ReplyCallback>> in_flight_;
   std::size_t writes_in_flight_ = 0;
 };
