--- a/src/core/jobs/cancellations.h
+++ b/src/core/jobs/cancellations.h
@@ -9,15 +9,16 @@
 
 namespace bendtide {
 
-/// Cancels jobs. The leader of a job's shard writes its final state; other controllers forward the request to
-/// the leader, or to all peers if the job's record can't be read.
+/// Cancels jobs. The leader of a job's shard writes the job's final state. Other controllers forward the
+/// request to that leader, or to all peers if the job's record can't be read.
 class Cancellations {
  public:
   Cancellations(ControllerState& state, JobDirectory& directory, PeerQueries& queries, JobPolls& polls,
                 FinalStateWriter& final_states)
       : state_(state), directory_(directory), queries_(queries), polls_(polls), final_states_(final_states) {}
 
-  /// Replies with the final state, which is another than "cancelled" if the job ended otherwise before.
+  /// Cancels a job and replies with its final state, which is not "cancelled" if the job had already ended in
+  /// another state.
   void cancel(const std::string& job, const ReplyCallback& respond, RequestOrigin origin);
 
  private:
@@ -27,7 +28,7 @@
     Micros requested_at{0};  ///< steady clock
     ReplyCallback respond;
   };
-  void cancel_here(const Cancellation& cancellation, Shard& shard, Job& job);
+  void cancel_locally(const Cancellation& cancellation, Shard& shard, Job& job);
   void forward_to(const std::string& host, const Cancellation& cancellation);
   void forward_to_all_peers(const Cancellation& cancellation);
   void on_live_record(const Cancellation& cancellation, const StoreResponse& response);
