--- a/src/core/jobs/final_state_writer.cpp
+++ b/src/core/jobs/final_state_writer.cpp
@@ -32,7 +32,7 @@
   write({shard.name, shard.leadership_term, job.spec.id, phase, false}, respond);
 }
 
-/// The job to be finalized; null if the shard was lost since.
+/// Returns the job to be finalized; null if the shard or the job is gone since.
 Job* FinalStateWriter::job_of(const FinalWrite& write) {
   Shard* shard = state_.shard_in_term(write.shard, write.leadership_term);
   if (shard == nullptr) return nullptr;
@@ -50,7 +50,8 @@
   transaction.compares = {state_.fenced_by(shard), {final_key, 0}};
   transaction.writes = {{final_key, records::to_json(record), 0},
                         {records::live_key(write.job), std::nullopt, 0}};
-  // The awards are removed by the same transaction: their winners stop as soon as they miss them.
+  // The same transaction removes the job's award records. Each winner stops the tasks once a read shows that
+  // the award is gone.
   for (const auto& [key, winner] : job->awards) transaction.writes.push_back({key, std::nullopt, 0});
   state_.store.commit(
       std::move(transaction),
@@ -72,7 +73,7 @@
   FinalWrite retry = write;
   retry.outcome_unknown = write.outcome_unknown || response.outcome == Outcome::unknown;
   if (retry.outcome_unknown) {
-    // It may have been written, or may be yet: the job can't be resumed.
+    // The final state may have been written, or may still be: the job must not be resumed.
     retry_later(retry);
     return;
   }
@@ -98,8 +99,8 @@
     retry_later(write);
     return;
   }
-  const bool is_ours = write.outcome_unknown && record->phase == write.phase;
-  if (!is_ours && state_.shard_in_term(write.shard, write.leadership_term) != nullptr)
+  const bool may_be_own_write = write.outcome_unknown && record->phase == write.phase;
+  if (!may_be_own_write && state_.shard_in_term(write.shard, write.leadership_term) != nullptr)
     state_.context.violated(Invariant::final_state_stays,
                             LogMessage("final state to be written differs from the one stored")
                                 .shard(write.shard)
