--- a/src/core/jobs/finished_task_recorder.cpp
+++ b/src/core/jobs/finished_task_recorder.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr Micros kWriteInterval = millis(500);
-constexpr std::size_t kTransactionBytes = 48 * 1024;  ///< of the 64 KiB that a transaction may have
+constexpr std::size_t kMaxTransactionBytes = 48 * 1024;  ///< leaves a margin below the limit of 64 KiB
 
 std::size_t tasks_in_chunk(const Job& job, std::uint32_t chunk) {
   return std::min<std::size_t>(records::kChunk, job.tasks.size() - std::size_t{chunk} * records::kChunk);
@@ -20,7 +20,7 @@
   return tasks;
 }
 
-/// All finished tasks of one chunk: those recorded already, and the `unrecorded` ones.
+/// Returns all finished tasks of a chunk: those already recorded and the `unrecorded` ones.
 records::DoneBits done_bits(const Job& job, std::uint32_t chunk,
                             const std::vector<std::uint32_t>& unrecorded) {
   const std::size_t first = std::size_t{chunk} * records::kChunk;
@@ -42,15 +42,16 @@
     if (!slot.dirty || batch.slots.size() >= state_.context.settings.store_transaction_writes) continue;
     if (slot.outcome_unknown) return read_slot(shard, number);
     const SlotContent content = content_of(shard, slot);
-    // FIXME: the chunks of a slot that does not fit below are marked as recorded too, one batch early.
+    // FIXME: the chunks are added even if the slot does not fit into this batch (see below). They are then
+    // marked as recorded with this batch although only the next one writes them.
     batch.chunks.insert(batch.chunks.end(), content.chunks.begin(), content.chunks.end());
     if (content.value.empty()) {
-      // All its jobs have ended: the record need not be written, and the slot is used again.
+      // All jobs of the slot have ended. The record need not be written, and the slot can be reused.
       slot.dirty = false;
       continue;
     }
     batch.bytes += slot.bytes;
-    if (batch.bytes > kTransactionBytes && !batch.slots.empty()) break;
+    if (batch.bytes > kMaxTransactionBytes && !batch.slots.empty()) break;
     batch.add(records::done_key(shard.name, number), number, slot, content);
   }
   if (!batch.slots.empty()) write(shard, std::move(batch));
@@ -69,7 +70,8 @@
   }
 }
 
-/// The slot that holds the chunk; else the first with space for it, or a new one.
+/// Returns the slot that contains the chunk. If there is none, adds the chunk to the first slot with enough
+/// space or to a new slot.
 DoneSlot& FinishedTaskRecorder::slot_for(Shard& shard, const Job& job, std::uint32_t chunk) const {
   const std::pair key{job.spec.id, chunk};
   const std::size_t bytes = records::done_bytes(job.spec.id, tasks_in_chunk(job, chunk));
@@ -87,7 +89,7 @@
   return slot;
 }
 
-/// What a slot is to hold. Chunks of jobs that have ended leave it.
+/// Returns the content to be written to a slot, after removing the chunks of ended jobs from the slot.
 FinishedTaskRecorder::SlotContent FinishedTaskRecorder::content_of(const Shard& shard, DoneSlot& slot) {
   SlotContent content;
   slot.bytes = 0;
@@ -110,7 +112,7 @@
 
 void FinishedTaskRecorder::Batch::add(const std::string& key, std::uint32_t number, const DoneSlot& slot,
                                       const SlotContent& content) {
-  // The revision keeps a late write from undoing what a later one recorded.
+  // The compared revision prevents a delayed write from overwriting a later one.
   transaction.compares.push_back({key, slot.revision});
   transaction.writes.push_back({key, records::to_json(content.value), 0});
   slots.push_back(number);
@@ -141,8 +143,8 @@
   if (response.ok()) mark_recorded(shard, batch.chunks);
 }
 
-/// From now on workers may forget these tasks; they are told so in the replies to their next heartbeats.
-/// Other shards are notified of the progress of their jobs.
+/// Marks the tasks as recorded. Workers may forget them from now on, and learn so from the replies to their
+/// next heartbeats. The leaders of the shards that own the jobs are notified of the progress.
 void FinishedTaskRecorder::mark_recorded(Shard& shard, const std::vector<RecordedChunk>& chunks) {
   std::set<std::string> owners;
   for (const RecordedChunk& recorded : chunks) {
--- a/src/core/jobs/finished_task_recorder.h
+++ b/src/core/jobs/finished_task_recorder.h
@@ -1,4 +1,4 @@
-// Finished tasks of unfinished jobs, recorded before their workers may forget them.
+// Records the finished tasks of unfinished jobs, so that their workers may forget them.
 #pragma once
 
 #include <functional>
@@ -9,34 +9,35 @@
 
 namespace bendtide {
 
-/// Writes the finished tasks of a shard in batches, one batch at a time. Each record (a slot) holds bitmaps
-/// of tasks of several jobs. A slot whose last write got no answer is read before it is written again.
+/// Writes the finished tasks of a shard to the key-value store in batches, one batch at a time. Each record
+/// (slot) contains bitmaps of the tasks of several jobs. A slot whose last write got no response is read
+/// before it is written again.
 class FinishedTaskRecorder {
  public:
-  /// `invalidate_leases`: called on a conflict, which may mean that another controller leads the shard.
+  /// `invalidate_leases` is called on a conflict, because another controller may lead the shard.
   FinishedTaskRecorder(ControllerState& state, std::function<void()> invalidate_leases)
       : state_(state), invalidate_leases_(std::move(invalidate_leases)) {}
 
-  /// Starts the next batch, if it is time and there is anything to be recorded.
+  /// Writes the next batch if one is due and there are tasks to record.
   void record(Shard& shard);
 
  private:
-  /// Tasks of one chunk that a batch records.
+  /// The tasks of one chunk that a batch records.
   struct RecordedChunk {
     std::string job;
     std::uint32_t chunk = 0;
-    std::vector<std::uint32_t> tasks;
+    std::vector<std::uint32_t> tasks;  ///< task indexes
   };
   struct SlotContent {
     std::vector<records::DoneBits> value;  ///< all finished tasks of the slot's chunks
-    std::vector<RecordedChunk> chunks;     ///< those that are not recorded yet
+    std::vector<RecordedChunk> chunks;     ///< the finished tasks among them that are not recorded yet
   };
-  /// One write of several slots.
+  /// A transaction that writes several slots.
   struct Batch {
     Transaction transaction;
     std::vector<RecordedChunk> chunks;
-    std::vector<std::uint32_t> slots;
-    std::size_t bytes = 0;  ///< of all slots
+    std::vector<std::uint32_t> slots;  ///< slot numbers
+    std::size_t bytes = 0;             ///< upper bound of the size of all slots
 
     void add(const std::string& key, std::uint32_t number, const DoneSlot& slot, const SlotContent& content);
   };
