--- a/src/core/jobs/unfinished_job_reader.cpp
+++ b/src/core/jobs/unfinished_job_reader.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr Micros kReadInterval = seconds(60);
-constexpr Micros kReadSoon = seconds(3);
+constexpr Micros kSoonDelay = seconds(3);  ///< delay of a read that is moved forward
 
 }  // namespace
 
@@ -23,7 +23,7 @@
 }
 
 void UnfinishedJobReader::read_soon(Shard& shard) {
-  shard.unfinished_jobs_read.bring_forward(state_.now() + kReadSoon);
+  shard.unfinished_jobs_read.bring_forward(state_.now() + kSoonDelay);
 }
 
 void UnfinishedJobReader::on_records(Shard& shard, Micros requested_at, const StoreResponse& response) {
--- a/src/core/jobs/unfinished_job_reader.h
+++ b/src/core/jobs/unfinished_job_reader.h
@@ -1,18 +1,20 @@
-// Reads of the unfinished jobs of a shard, which find jobs whose acceptance got no answer.
+// Periodic reads of the records of unfinished jobs.
 #pragma once
 
 #include "core/jobs/job_directory.h"
 
 namespace bendtide {
 
+/// Finds jobs of a shard whose acceptance write got no response, by reading the records of unfinished jobs.
 class UnfinishedJobReader {
  public:
   UnfinishedJobReader(ControllerState& state, JobDirectory& directory)
       : state_(state), directory_(directory) {}
 
-  /// Reads the records of unfinished jobs if it is time, and loads those of the shard that it does not have.
+  /// Reads the records of unfinished jobs if a read is due, and loads the shard's jobs that are missing from
+  /// it.
   void read(Shard& shard);
-  /// Has the next read made soon: a job may have been accepted without this controller knowing.
+  /// Moves the next read forward, because a job may have been accepted without this controller's knowledge.
   void read_soon(Shard& shard);
 
  private:
