--- a/src/core/jobs/ended_jobs.cpp
+++ b/src/core/jobs/ended_jobs.cpp
@@ -15,7 +15,7 @@
         .task(attempt.task.index)
         .attempt(attempt.attempt)
         .machine(machine.name)
-        .why("its job has ended");
+        .why("the job has ended");
   });
   shard.request_push(machine);
 }
