--- a/src/core/jobs/jobs.cpp
+++ b/src/core/jobs/jobs.cpp
@@ -66,25 +66,25 @@
 
 ReplyCallback Jobs::reply_to_user(std::uint64_t request) {
   return [this, request](const UserReply& reply) {
-    const UserReply newest = directory_.replace_if_outdated(reply);
+    const UserReply current = directory_.replace_if_outdated(reply);
     state_.context.debug([&] {
       return LogMessage("request answered")
-          .job(newest.id)
+          .job(current.id)
           .detail("request", request)
-          .detail("status", static_cast<std::uint64_t>(newest.status))
-          .detail("phase", to_text(newest.phase))
-          .detail("done", newest.done)
-          .detail("running", newest.running);
+          .detail("status", static_cast<std::uint64_t>(current.status))
+          .detail("phase", to_text(current.phase))
+          .detail("done", current.done)
+          .detail("running", current.running);
     });
-    state_.context.act(AnswerUser{request, newest});
+    state_.context.act(AnswerUser{request, current});
   };
 }
 
 ReplyCallback Jobs::reply_to_peer(const std::string& host, std::uint64_t query) {
   return [this, host, query](const UserReply& reply) {
-    const UserReply newest = directory_.replace_if_outdated(reply);
-    state_.context.act(PeerSend{host, JobReply{query, static_cast<std::uint32_t>(newest.status), newest.phase,
-                                               newest.done, newest.running}});
+    const UserReply current = directory_.replace_if_outdated(reply);
+    state_.context.act(PeerSend{host, JobReply{query, static_cast<std::uint32_t>(current.status),
+                                               current.phase, current.done, current.running}});
   };
 }
 
--- a/src/core/jobs/jobs.h
+++ b/src/core/jobs/jobs.h
@@ -1,14 +1,15 @@
-// Jobs as users and peers know them: the front of the classes in this folder.
+// Handling of the requests that users and peers make about jobs. Jobs is the interface to the classes in this
+// folder:
 //
-//   JobDirectory          what is known of jobs without a read
-//   PeerQueries         requests forwarded to peers
-//   JobPolls              polls, and reads of a job's records
-//   Submissions           acceptance of jobs
-//   Cancellations         cancellations
-//   FinalStateWriter      the write that ends a job
-//   FinishedTaskRecorder  records of finished tasks
-//   UnfinishedJobReader   finds jobs whose acceptance got no answer
-//   clean_up_ended_jobs   stops what is left of ended jobs
+//   JobDirectory          looks up jobs without reading the key-value store
+//   PeerQueries           forwards requests to peers
+//   JobPolls              answers polls and reads the records of jobs
+//   Submissions           accepts jobs
+//   Cancellations         cancels jobs
+//   FinalStateWriter      writes the final states of jobs
+//   FinishedTaskRecorder  records finished tasks
+//   UnfinishedJobReader   finds jobs whose acceptance write got no response
+//   clean_up_ended_jobs   stops the attempts of ended jobs and removes the jobs
 #pragma once
 
 #include <functional>
@@ -27,24 +28,25 @@
   Jobs(const Jobs&) = delete;
   Jobs& operator=(const Jobs&) = delete;
 
-  /// Does everything that is due.
+  /// Performs all periodic work that is due.
   void tick();
 
-  // Requests of users; each gets one reply, an AnswerUser action with its `request` number.
+  // Requests from users. Each gets exactly one reply: an AnswerUser action with the same `request` number.
+
   void on_submit(std::uint64_t request, const JobSpec& spec);
-  /// A submission of which only the job's id can be read.
+  /// Handles a submission of which only the job id is readable; `why` tells what is wrong with it.
   void on_malformed(std::uint64_t request, const std::string& job, const std::string& why);
   void on_poll(std::uint64_t request, const std::string& job);
   void on_cancel(std::uint64_t request, const std::string& job);
 
-  /// A request that a peer forwards for its user.
+  /// Handles a request that a peer forwards on behalf of a user.
   void on_query(const std::string& from_host, const JobQuery& query);
-  /// A peer's reply to a forwarded request.
+  /// Handles a peer's reply to a forwarded request.
   void on_reply(const JobReply& reply);
 
   /// Adds a job to a shard that is being loaded.
   static Job& load(Shard& shard, const records::LiveJob& record) { return JobDirectory::load(shard, record); }
-  /// Remembers the shard of an unfinished job, as just read from its record.
+  /// Remembers the shard of an unfinished job from the job's record, which was just read.
   void learn_shard(const records::LiveJob& record) { directory_.remember_shard(record); }
 
  private:
