--- a/src/core/jobs/job_directory.cpp
+++ b/src/core/jobs/job_directory.cpp
@@ -11,11 +11,11 @@
     const auto found = shard.jobs.find(job_id);
     if (found == shard.jobs.end() || !found->second.owner.empty()) continue;
     const Job& job = found->second;
-    // While the write of its final state is in flight, only the key-value store knows its status.
+    // While the write of the final state is in flight, only the key-value store knows the job's status.
     if (job.finalizing || job.ended) return std::nullopt;
     JobStatus status;
     status.done = job.done;
-    status.running = job.under_way();
+    status.running = job.tasks_in_progress();
     status.phase = status.running > 0 ? JobPhase::running : JobPhase::pending;
     return status;
   }
@@ -32,7 +32,7 @@
   return nullptr;
 }
 
-UserReply JobDirectory::newest(const UserReply& reply) const {
+UserReply JobDirectory::replace_if_outdated(const UserReply& reply) const {
   const std::optional<FinalState> final_state = state_.final_states.final_state(reply.id);
   if (!final_state || reply.status == 503) return reply;
   const bool shows_phase = reply.status == 200 || reply.status == 201;
@@ -47,9 +47,9 @@
   return replies::status(reply.id, {final_state->phase, final_state->done, 0});
 }
 
-void JobDirectory::learn_shard(const records::LiveJob& record) {
+void JobDirectory::remember_shard(const records::LiveJob& record) {
   if (state_.final_states.has_ended(record.spec.id)) return;
-  if (shard_of_.size() >= kShardsRemembered) shard_of_.clear();
+  if (shard_of_.size() >= kMaxRememberedShards) shard_of_.clear();
   shard_of_[record.spec.id] = record.shard;
 }
 
@@ -83,8 +83,8 @@
   return job;
 }
 
-Job* JobDirectory::load_if_current(Shard& shard, const records::LiveJob& record, Micros asked_at) {
-  return state_.may_act_on(shard, record.spec.id, asked_at) ? &load(shard, record) : nullptr;
+Job* JobDirectory::load_if_current(Shard& shard, const records::LiveJob& record, Micros requested_at) {
+  return state_.may_act_on(shard, record.spec.id, requested_at) ? &load(shard, record) : nullptr;
 }
 
 }  // namespace bendtide
--- a/src/core/jobs/jobs.cpp
+++ b/src/core/jobs/jobs.cpp
@@ -7,17 +7,17 @@
 Jobs::Jobs(ControllerState& state, const Hooks& hooks)
     : state_(state),
       directory_(state),
-      questions_(state),
-      polls_(state, directory_, questions_),
+      queries_(state),
+      polls_(state, directory_, queries_),
       final_states_(state, directory_, hooks.invalidate_leases),
-      cancellations_(state, directory_, questions_, polls_, final_states_),
+      cancellations_(state, directory_, queries_, polls_, final_states_),
       unfinished_jobs_(state, directory_),
-      submissions_(state, directory_, questions_, polls_, unfinished_jobs_, hooks),
+      submissions_(state, directory_, queries_, polls_, unfinished_jobs_, hooks),
       recorder_(state, hooks.invalidate_leases) {}
 
 void Jobs::tick() {
-  questions_.expire();
-  submissions_.give_up_unwritable();
+  queries_.expire();
+  submissions_.fail_unwritable();
   if (!state_.lease_valid()) return;
   submissions_.write_queued();
   for (auto& [name, shard] : state_.shards) {
@@ -62,29 +62,29 @@
   }
 }
 
-void Jobs::on_reply(const JobReply& reply) { questions_.on_reply(reply); }
+void Jobs::on_reply(const JobReply& reply) { queries_.on_reply(reply); }
 
 ReplyCallback Jobs::reply_to_user(std::uint64_t request) {
   return [this, request](const UserReply& reply) {
-    const UserReply newest = directory_.newest(reply);
+    const UserReply current = directory_.replace_if_outdated(reply);
     state_.context.debug([&] {
       return LogMessage("request answered")
-          .job(newest.id)
+          .job(current.id)
           .detail("request", request)
-          .detail("status", static_cast<std::uint64_t>(newest.status))
-          .detail("phase", to_text(newest.phase))
-          .detail("done", newest.done)
-          .detail("running", newest.running);
+          .detail("status", static_cast<std::uint64_t>(current.status))
+          .detail("phase", to_text(current.phase))
+          .detail("done", current.done)
+          .detail("running", current.running);
     });
-    state_.context.act(AnswerUser{request, newest});
+    state_.context.act(AnswerUser{request, current});
   };
 }
 
 ReplyCallback Jobs::reply_to_peer(const std::string& host, std::uint64_t query) {
   return [this, host, query](const UserReply& reply) {
-    const UserReply newest = directory_.newest(reply);
-    state_.context.act(PeerSend{host, JobReply{query, static_cast<std::uint32_t>(newest.status), newest.phase,
-                                               newest.done, newest.running}});
+    const UserReply current = directory_.replace_if_outdated(reply);
+    state_.context.act(PeerSend{host, JobReply{query, static_cast<std::uint32_t>(current.status),
+                                               current.phase, current.done, current.running}});
   };
 }
 
