--- a/lab/http_server.cpp
+++ b/lab/http_server.cpp
@@ -24,9 +24,9 @@
   const http::Limits limits;
   std::string buffer;
   for (;;) {
-    http::Parse parsed = http::parse(buffer, http::Kind::request, limits);
-    if (parsed.state == http::Parse::State::malformed) co_return;
-    if (parsed.state == http::Parse::State::incomplete) {
+    http::ParseResult parsed = http::parse(buffer, http::Kind::request, limits);
+    if (parsed.state == http::ParseResult::State::malformed) co_return;
+    if (parsed.state == http::ParseResult::State::incomplete) {
       if (!co_await socket.read(buffer, loop_.now() + kIdle)) co_return;
       continue;
     }
--- a/src/app/daemon.cpp
+++ b/src/app/daemon.cpp
@@ -80,13 +80,13 @@
 io::Task<> Daemon::serve_http(io::Socket socket, std::string buffer, Audience audience) {
   const http::Limits limits;
   for (;;) {
-    http::Parse parsed = http::parse(buffer, http::Kind::request, limits);
-    if (parsed.state == http::Parse::State::incomplete) {
+    http::ParseResult parsed = http::parse(buffer, http::Kind::request, limits);
+    if (parsed.state == http::ParseResult::State::incomplete) {
       const bool more = co_await read_request(socket, buffer, audience);
       if (!more) co_return;
       continue;
     }
-    if (parsed.state == http::Parse::State::malformed) {
+    if (parsed.state == http::ParseResult::State::malformed) {
       const std::string response =
           http::write_response(parsed.status, "{\"error\":\"malformed HTTP\"}", false);
       co_await socket.write(response, loop_.now() + kWriteTimeout);
--- a/src/http/message.h
+++ b/src/http/message.h
@@ -31,7 +31,7 @@
 enum class Kind { request, response };
 
 /// What was found at the beginning of a text.
-struct Parse {
+struct ParseResult {
   enum class State { incomplete, complete, malformed };
   State state = State::incomplete;
   std::size_t consumed = 0;  ///< bytes of the complete message
@@ -41,7 +41,7 @@
 
 /// Reads one message from the beginning of `text`, which may hold less or more than one. Chunked bodies are
 /// put together; trailers are dropped.
-[[nodiscard]] Parse parse(std::string_view text, Kind kind, const Limits& limits);
+[[nodiscard]] ParseResult parse(std::string_view text, Kind kind, const Limits& limits);
 
 /// `body`: JSON; empty: none.
 [[nodiscard]] std::string write_request(std::string_view method, std::string_view target,
--- a/src/http/parser.cpp
+++ b/src/http/parser.cpp
@@ -42,9 +42,9 @@
   return number;
 }
 
-Parse malformed(int status) {
-  Parse parse;
-  parse.state = Parse::State::malformed;
+ParseResult malformed(int status) {
+  ParseResult parse;
+  parse.state = ParseResult::State::malformed;
   parse.status = status;
   return parse;
 }
@@ -159,30 +159,30 @@
   BodyReader(std::string_view text, std::size_t position, const Limits& limits)
       : text_(text), position_(position), limits_(limits) {}
 
-  Parse::State read_chunks() {
+  ParseResult::State read_chunks() {
     for (;;) {
       const auto end = text_.find(kLineEnd, position_);
       if (end == std::string_view::npos) return missing_line_end();
       const std::string_view line = text_.substr(position_, end - position_);
       const auto size = parse_number(trim(line.substr(0, line.find(';'))), 16);
-      if (!size) return Parse::State::malformed;
+      if (!size) return ParseResult::State::malformed;
       if (*size > limits_.body || body_.size() + *size > limits_.body) return too_large();
       position_ = end + kLineEnd.size();
       if (*size == 0) return skip_trailers();
-      if (text_.size() < position_ + *size + kLineEnd.size()) return Parse::State::incomplete;
+      if (text_.size() < position_ + *size + kLineEnd.size()) return ParseResult::State::incomplete;
       body_.append(text_.substr(position_, *size));
       position_ += *size;
-      if (text_.substr(position_, kLineEnd.size()) != kLineEnd) return Parse::State::malformed;
+      if (text_.substr(position_, kLineEnd.size()) != kLineEnd) return ParseResult::State::malformed;
       position_ += kLineEnd.size();
     }
   }
 
-  Parse::State read_length(std::size_t length) {
+  ParseResult::State read_length(std::size_t length) {
     if (length > limits_.body) return too_large();
-    if (text_.size() - position_ < length) return Parse::State::incomplete;
+    if (text_.size() - position_ < length) return ParseResult::State::incomplete;
     body_ = text_.substr(position_, length);
     position_ += length;
-    return Parse::State::complete;
+    return ParseResult::State::complete;
   }
 
   /// Behind what was read.
@@ -193,21 +193,22 @@
 
  private:
   /// Nobody here reads trailers; they end with an empty line.
-  Parse::State skip_trailers() {
+  ParseResult::State skip_trailers() {
     for (;;) {
       const auto end = text_.find(kLineEnd, position_);
       if (end == std::string_view::npos) return missing_line_end();
       const bool is_last = end == position_;
       position_ = end + kLineEnd.size();
-      if (is_last) return Parse::State::complete;
+      if (is_last) return ParseResult::State::complete;
     }
   }
-  Parse::State missing_line_end() const {
-    return text_.size() - position_ > limits_.head ? Parse::State::malformed : Parse::State::incomplete;
+  ParseResult::State missing_line_end() const {
+    return text_.size() - position_ > limits_.head ? ParseResult::State::malformed
+                                                   : ParseResult::State::incomplete;
   }
-  Parse::State too_large() {
+  ParseResult::State too_large() {
     status_ = 413;
-    return Parse::State::malformed;
+    return ParseResult::State::malformed;
   }
 
   std::string_view text_;
@@ -217,10 +218,10 @@
   int status_ = 400;
 };
 
-Parse::State read_body(const Head& head, BodyReader& reader) {
+ParseResult::State read_body(const Head& head, BodyReader& reader) {
   if (head.chunked) return reader.read_chunks();
   if (head.content_length) return reader.read_length(*head.content_length);
-  return Parse::State::complete;
+  return ParseResult::State::complete;
 }
 
 }  // namespace
@@ -231,24 +232,24 @@
   return {};
 }
 
-Parse parse(std::string_view text, Kind kind, const Limits& limits) {
+ParseResult parse(std::string_view text, Kind kind, const Limits& limits) {
   const auto head_end = text.find(kHeadEnd);
-  if (head_end == std::string_view::npos) return text.size() > limits.head ? malformed(431) : Parse{};
+  if (head_end == std::string_view::npos) return text.size() > limits.head ? malformed(431) : ParseResult{};
   if (head_end > limits.head) return malformed(431);
   std::optional<Head> head = HeadParser().parse(text.substr(0, head_end), kind);
   if (!head) return malformed(400);
 
   BodyReader reader(text, head_end + kHeadEnd.size(), limits);
   switch (read_body(*head, reader)) {
-    case Parse::State::incomplete:
-      return Parse{};
-    case Parse::State::malformed:
+    case ParseResult::State::incomplete:
+      return ParseResult{};
+    case ParseResult::State::malformed:
       return malformed(reader.status());
-    case Parse::State::complete:
+    case ParseResult::State::complete:
       break;
   }
-  Parse parse;
-  parse.state = Parse::State::complete;
+  ParseResult parse;
+  parse.state = ParseResult::State::complete;
   parse.consumed = reader.position();
   parse.message = std::move(head->message);
   parse.message.body = reader.take_body();
--- a/src/io/http_client.cpp
+++ b/src/io/http_client.cpp
@@ -15,9 +15,9 @@
   if (!co_await socket.write(request, until)) co_return result;
   std::string buffer;
   while (co_await socket.read(buffer, until)) {
-    http::Parse parsed = http::parse(buffer, http::Kind::response, limits_);
-    if (parsed.state == http::Parse::State::incomplete) continue;
-    if (parsed.state == http::Parse::State::malformed) break;
+    http::ParseResult parsed = http::parse(buffer, http::Kind::response, limits_);
+    if (parsed.state == http::ParseResult::State::incomplete) continue;
+    if (parsed.state == http::ParseResult::State::malformed) break;
     result.status = parsed.message.status;
     result.body = std::move(parsed.message.body);
     // Anything left over was not asked for: such a connection is not used again.
--- a/tests/http_test.cpp
+++ b/tests/http_test.cpp
@@ -8,7 +8,7 @@
 struct RequestCase {
   const char* name;
   std::string text;
-  Parse::State state;
+  ParseResult::State state;
   int status = 0;      // of a malformed one
   std::string body{};  // of a complete one
   bool keep_alive = true;
@@ -18,19 +18,19 @@
 
 TEST_P(Requests, AreParsed) {
   const RequestCase& c = GetParam();
-  const Parse p = parse(c.text, Kind::request, {256, 64});
+  const ParseResult p = parse(c.text, Kind::request, {256, 64});
   ASSERT_EQ(p.state, c.state);
-  if (c.state == Parse::State::malformed) {
+  if (c.state == ParseResult::State::malformed) {
     EXPECT_EQ(p.status, c.status);
   }
-  if (c.state != Parse::State::complete) return;
+  if (c.state != ParseResult::State::complete) return;
   EXPECT_EQ(p.message.body, c.body);
   EXPECT_EQ(p.message.keep_alive, c.keep_alive);
 }
 
-constexpr auto kComplete = Parse::State::complete;
-constexpr auto kMalformed = Parse::State::malformed;
-constexpr auto kIncomplete = Parse::State::incomplete;
+constexpr auto kComplete = ParseResult::State::complete;
+constexpr auto kMalformed = ParseResult::State::malformed;
+constexpr auto kIncomplete = ParseResult::State::incomplete;
 
 INSTANTIATE_TEST_SUITE_P(
     Table, Requests,
@@ -68,8 +68,8 @@
 
 TEST(Responses, AreReadBack) {
   const std::string text = write_response(503, "{}", false, 7);
-  const Parse p = parse(text, Kind::response, {});
-  ASSERT_EQ(p.state, Parse::State::complete);
+  const ParseResult p = parse(text, Kind::response, {});
+  ASSERT_EQ(p.state, ParseResult::State::complete);
   EXPECT_EQ(p.consumed, text.size());
   EXPECT_EQ(p.message.status, 503);
   EXPECT_EQ(p.message.header("retry-after"), "7");
