--- a/src/app/peer_link.cpp
+++ b/src/app/peer_link.cpp
@@ -25,7 +25,7 @@
       co_await loop_.wait(more_, loop_.now() + kIdleWait);
       continue;
     }
-    if (!socket.fresh())
+    if (!socket.reusable())
       socket = co_await io::Socket::connect(loop_, address_, loop_.now() + kConnectTimeout);
     if (!socket.open()) {
       co_await loop_.sleep(kReconnectPause);
--- a/src/io/http_client.cpp
+++ b/src/io/http_client.cpp
@@ -32,7 +32,7 @@
   while (!idle_.empty()) {
     Socket socket = std::move(idle_.back());
     idle_.pop_back();
-    if (socket.fresh()) return socket;
+    if (socket.reusable()) return socket;
   }
   return Socket();
 }
--- a/src/io/loop.cpp
+++ b/src/io/loop.cpp
@@ -201,7 +201,7 @@
   loop_->wake(watch_->reader);
 }
 
-bool Socket::fresh() const {
+bool Socket::reusable() const {
   if (!open()) return false;
   char byte = 0;
   const ssize_t n = ::recv(fd_.value, &byte, 1, MSG_PEEK | MSG_DONTWAIT);
--- a/src/io/loop.h
+++ b/src/io/loop.h
@@ -119,7 +119,7 @@
   /// Ends the read that is under way, and all later ones, as if the other side had closed.
   void stop_reading();
   /// Whether an idle connection is still good for a request: open, and nothing unasked has arrived.
-  bool fresh() const;
+  bool reusable() const;
 
   /// Waits for the next connection to a listening socket, however long.
   Task<Socket> accept();
