--- a/src/wire/object_reader.cpp
+++ b/src/wire/object_reader.cpp
@@ -55,7 +55,7 @@
   const json& value = require(field);
   if (!value.is_string()) throw FieldError{field, "must be a string"};
   auto text = value.get<std::string>();
-  if (text.empty() || text.size() > kLongestName) throw FieldError{field, "bad length"};
+  if (text.empty() || text.size() > kMaxNameBytes) throw FieldError{field, "bad length"};
   return text;
 }
 
--- a/src/wire/object_reader.h
+++ b/src/wire/object_reader.h
@@ -28,7 +28,7 @@
 using Parsed = std::variant<T, FieldError>;
 
 /// The longest name, in bytes, that any field may hold.
-inline constexpr std::size_t kLongestName = 200;
+inline constexpr std::size_t kMaxNameBytes = 200;
 
 /// The name that the protocol gives to a value of an enumeration.
 template <class E>
@@ -68,7 +68,7 @@
   /// A field that is not missing; null is a value of its own.
   const nlohmann::json& require_nullable(const char* field) const;
 
-  /// A string of 1 to kLongestName bytes.
+  /// A string of 1 to kMaxNameBytes bytes.
   std::string name(const char* field) const;
   std::optional<std::string> optional_name(const char* field) const;
   bool flag_or(const char* field, bool otherwise) const;
--- a/src/wire/user_protocol.cpp
+++ b/src/wire/user_protocol.cpp
@@ -49,7 +49,7 @@
     throw FieldError{kMachineTypes, "must be a list of names"};
   std::vector<std::string> types;
   for (const json& name : *names) {
-    if (!name.is_string() || name.get_ref<const std::string&>().size() > kLongestName)
+    if (!name.is_string() || name.get_ref<const std::string&>().size() > kMaxNameBytes)
       throw FieldError{kMachineTypes, "must be a list of names"};
     types.push_back(name.get<std::string>());
   }
