--- a/src/app/config.cpp
+++ b/src/app/config.cpp
@@ -30,15 +30,15 @@
 /// None for an objective that has no effect here: its kind is new or decides on nothing, or it comes with
 /// other fields and so is meant otherwise.
 std::optional<Objective> supported_objective(const ConfigSection& section) {
-  const std::optional<Objective::Kind> kind = objective_kind(section.text("kind"));
+  const std::optional<Objective::Kind> kind = objective_kind(section.string("kind"));
   if (!kind) return std::nullopt;
   const bool of_class = *kind != Objective::Kind::guarantee;
   const char* measure = *kind == Objective::Kind::deadline ? "times" : "within_s";
   if (!section.has(measure) || (of_class && !section.has("class"))) return std::nullopt;
   Objective objective;
   objective.kind = *kind;
-  if (of_class) objective.job_class = section.text("class");
-  const double amount = section.positive(measure);
+  if (of_class) objective.job_class = section.string("class");
+  const double amount = section.positive_number(measure);
   if (*kind == Objective::Kind::deadline)
     objective.times = amount;
   else
@@ -53,9 +53,9 @@
   Settings read(const ConfigSection& top) {
     read_addresses(top);
     const ConfigSection settings = top.section("settings");
-    settings_.zones = settings.names("zones");
+    settings_.zones = settings.string_list("zones");
     read_teams(settings);
-    settings.each("objectives", [&](const ConfigSection& objective) { read_objective(objective); });
+    settings.for_each_table("objectives", [&](const ConfigSection& objective) { read_objective(objective); });
     read_workers(settings.section("workers"));
     read_store(settings.section("state"));
     read_cloud(settings.section("cloud"));
@@ -66,13 +66,13 @@
 
  private:
   void read_addresses(const ConfigSection& top) {
-    settings_.host = top.text("host_name");
-    settings_.zone = top.text("domain");
+    settings_.host = top.string("host_name");
+    settings_.zone = top.string("domain");
     settings_.api_address = top.address("api_addr");
     settings_.internal_address = top.address("internal_addr");
     std::set<std::string> hosts{settings_.host};
-    top.each("known", [&](const ConfigSection& section) {
-      Peer peer{section.text("host_name"), section.text("domain"), section.address("endpoint")};
+    top.for_each_table("known", [&](const ConfigSection& section) {
+      Peer peer{section.string("host_name"), section.string("domain"), section.address("endpoint")};
       if (!hosts.insert(peer.host).second) section.fail("host_name", "named twice");
       check_host_name(section, peer.host);
       settings_.peers.push_back(std::move(peer));
@@ -89,14 +89,14 @@
   }
 
   void read_teams(const ConfigSection& settings) {
-    settings.each("teams", [&](const ConfigSection& section) {
+    settings.for_each_table("teams", [&](const ConfigSection& section) {
       Team team;
-      team.name = section.text("name");
+      team.name = section.string("name");
       if (settings_.team(team.name) != nullptr) section.fail("name", "named twice");
-      team.guarantee.cpu = to_thousandths(section.amount_or_zero("cpus"));
-      team.guarantee.gpu = to_thousandths(section.amount_or_zero("gpus"));
-      team.limit.cpu = to_thousandths(section.amount_or_zero("cpus_max"));
-      team.limit.gpu = to_thousandths(section.amount_or_zero("gpus_max"));
+      team.guarantee.cpu = to_thousandths(section.non_negative_or_zero("cpus"));
+      team.guarantee.gpu = to_thousandths(section.non_negative_or_zero("gpus"));
+      team.limit.cpu = to_thousandths(section.non_negative_or_zero("cpus_max"));
+      team.limit.gpu = to_thousandths(section.non_negative_or_zero("gpus_max"));
       // "0 means none": a team with neither guarantee nor limit, a guest, may use all that is free.
       if (team.limit == Quota{}) team.limit = kNoLimit;
       settings_.teams.push_back(std::move(team));
@@ -108,13 +108,13 @@
     if (const auto objective = supported_objective(section))
       settings_.objectives.push_back(*objective);
     else
-      settings_.ignored_objectives.insert(section.text("kind"));
+      settings_.ignored_objectives.insert(section.string("kind"));
   }
 
   void read_workers(const ConfigSection& section) {
-    settings_.heartbeat_interval = seconds(section.positive("report_s"));
-    settings_.worker_lease = seconds(section.positive("lease_s"));
-    settings_.cancel_within = seconds(section.positive("cancel_s"));
+    settings_.heartbeat_interval = seconds(section.positive_number("report_s"));
+    settings_.worker_lease = seconds(section.positive_number("lease_s"));
+    settings_.cancel_within = seconds(section.positive_number("cancel_s"));
     if (settings_.worker_lease < settings_.heartbeat_interval)
       section.fail("lease_s", "must not be below report_s");
     if (settings_.cancel_within <= settings_.worker_lease + seconds(2))
@@ -124,14 +124,14 @@
   }
 
   void read_store(const ConfigSection& section) {
-    settings_.store_requests_per_s = section.positive("rps");
-    settings_.store_writes_per_s = section.positive("write_rps");
+    settings_.store_requests_per_s = section.positive_number("rps");
+    settings_.store_writes_per_s = section.positive_number("write_rps");
     settings_.store_value_bytes = static_cast<std::size_t>(section.number("value_kb", 1, 1e6) * 1024);
     settings_.store_transaction_writes = static_cast<std::size_t>(section.number("txn_ops", 4, 1e6));
   }
 
   void read_cloud(const ConfigSection& section) {
-    settings_.cloud_calls_per_s = section.positive("rps");
+    settings_.cloud_calls_per_s = section.positive_number("rps");
     settings_.cloud_list_lag = seconds(section.number("list_lag_s", 0, 3600));
   }
 
--- a/src/app/config_section.cpp
+++ b/src/app/config_section.cpp
@@ -4,7 +4,7 @@
 
 namespace bendtide {
 
-std::string ConfigSection::text(const char* key) const {
+std::string ConfigSection::string(const char* key) const {
   auto value = table_[key].value<std::string>();
   if (!value) fail_type(key, "must be a string");
   if (value->empty()) fail(key, "is empty");
@@ -12,7 +12,7 @@
 }
 
 std::string ConfigSection::address(const char* key) const {
-  std::string value = text(key);
+  std::string value = string(key);
   const auto colon = value.rfind(':');
   if (colon == std::string::npos || colon == 0 || colon + 1 == value.size() ||
       value.find_first_not_of("0123456789", colon + 1) != std::string::npos)
@@ -27,7 +27,7 @@
   return *value;
 }
 
-std::vector<std::string> ConfigSection::names(const char* key) const {
+std::vector<std::string> ConfigSection::string_list(const char* key) const {
   const toml::array* list = table_[key].as_array();
   if (list == nullptr) fail_type(key, "must be a list");
   std::vector<std::string> names;
@@ -45,7 +45,8 @@
   return {*table, path_ + key + "."};
 }
 
-void ConfigSection::each(const char* key, const std::function<void(const ConfigSection&)>& read) const {
+void ConfigSection::for_each_table(const char* key,
+                                   const std::function<void(const ConfigSection&)>& read) const {
   if (!has(key)) return;
   const toml::array* list = table_[key].as_array();
   if (list == nullptr) fail(key, "must be a list of tables");
--- a/src/app/config_section.h
+++ b/src/app/config_section.h
@@ -20,16 +20,16 @@
 
   bool has(const char* key) const { return table_.contains(key); }
   /// A string that is not empty.
-  std::string text(const char* key) const;
+  std::string string(const char* key) const;
   /// HOST:PORT
   std::string address(const char* key) const;
   double number(const char* key, double low, double high) const;
-  double positive(const char* key) const { return number(key, 1e-6, 1e9); }
-  double amount_or_zero(const char* key) const { return has(key) ? number(key, 0, 1e9) : 0.0; }
-  std::vector<std::string> names(const char* key) const;
+  double positive_number(const char* key) const { return number(key, 1e-6, 1e9); }
+  double non_negative_or_zero(const char* key) const { return has(key) ? number(key, 0, 1e9) : 0.0; }
+  std::vector<std::string> string_list(const char* key) const;
   ConfigSection section(const char* key) const;
   /// Reads each table of a list, in its order; none if the key is missing.
-  void each(const char* key, const std::function<void(const ConfigSection&)>& read) const;
+  void for_each_table(const char* key, const std::function<void(const ConfigSection&)>& read) const;
 
   [[noreturn]] void fail(const std::string& key, const std::string& problem) const {
     throw ConfigError(path_ + key, problem);
