--- a/src/app/admin_api.cpp
+++ b/src/app/admin_api.cpp
@@ -52,8 +52,10 @@
 }
 
 io::Task<HttpReply> AdminApi::ask(AdminRequest request) {
-  CoreDriver::Request event = [&](Controller& core, std::uint64_t number) { core.on_admin(number, request); };
-  co_return co_await driver_.ask(std::move(event), kReplyTimeout);
+  CoreDriver::RequestHandler event = [&](Controller& core, std::uint64_t number) {
+    core.on_admin(number, request);
+  };
+  co_return co_await driver_.submit(std::move(event), kReplyTimeout);
 }
 
 }  // namespace bendtide
--- a/src/app/core_driver.cpp
+++ b/src/app/core_driver.cpp
@@ -151,7 +151,7 @@
 
 // ---- replies -------------------------------------------------------------------------------------
 
-io::Task<HttpReply> CoreDriver::ask(Request request, Micros within) {
+io::Task<HttpReply> CoreDriver::submit(RequestHandler request, Micros within) {
   const std::uint64_t number = next_request_++;
   Pending& pending = *pending_.emplace(number, std::make_unique<Pending>()).first->second;
   handle([&](Controller& core) { request(core, number); });
--- a/src/app/core_driver.h
+++ b/src/app/core_driver.h
@@ -48,12 +48,12 @@
   }
 
   /// An event that the core answers later, under this number.
-  using Request = std::function<void(Controller& core, std::uint64_t request)>;
+  using RequestHandler = std::function<void(Controller& core, std::uint64_t request)>;
   /// Hands a request to the core and waits for the reply; 503 if there is none within `within`. The request
   /// is handed over before this first suspends.
   ///
   /// Callers name `request` before they await: GCC 12 destroys temporaries of a co_await expression twice.
-  io::Task<HttpReply> ask(Request request, Micros within);
+  io::Task<HttpReply> submit(RequestHandler request, Micros within);
 
   /// Whether `host` is one of the other controllers.
   bool is_peer(const std::string& host) const { return peers_.contains(host); }
--- a/src/app/user_api.cpp
+++ b/src/app/user_api.cpp
@@ -51,10 +51,10 @@
   if (request.method != "POST") co_return error(405, "POST only");
   const auto parsed = wire::parse_heartbeat(request.body);
   if (const auto* problem = std::get_if<wire::FieldError>(&parsed)) co_return error(400, problem->text());
-  CoreDriver::Request event = [&](Controller& core, std::uint64_t number) {
+  CoreDriver::RequestHandler event = [&](Controller& core, std::uint64_t number) {
     core.on_heartbeat(number, std::get<Heartbeat>(parsed));
   };
-  co_return co_await driver_.ask(std::move(event), kReplyTimeout);
+  co_return co_await driver_.submit(std::move(event), kReplyTimeout);
 }
 
 io::Task<HttpReply> UserApi::answer_submission(const http::Message& request) {
@@ -63,25 +63,29 @@
   const auto* problem = std::get_if<wire::FieldError>(&parsed);
   const std::string job = problem == nullptr ? "" : wire::find_job_id(request.body);
   if (problem != nullptr && job.empty()) co_return error(400, problem->text());
-  CoreDriver::Request event = [&](Controller& core, std::uint64_t number) {
+  CoreDriver::RequestHandler event = [&](Controller& core, std::uint64_t number) {
     if (problem == nullptr)
       core.on_submit(number, std::get<JobSpec>(parsed));
     else
       core.on_malformed(number, job, problem->text());
   };
-  co_return co_await driver_.ask(std::move(event), kReplyTimeout);
+  co_return co_await driver_.submit(std::move(event), kReplyTimeout);
 }
 
 io::Task<HttpReply> UserApi::answer_poll(const http::Message& request, std::string job) {
   if (request.method != "GET") co_return error(405, "GET only");
-  CoreDriver::Request event = [&](Controller& core, std::uint64_t number) { core.on_poll(number, job); };
-  co_return co_await driver_.ask(std::move(event), kPollTimeout);
+  CoreDriver::RequestHandler event = [&](Controller& core, std::uint64_t number) {
+    core.on_poll(number, job);
+  };
+  co_return co_await driver_.submit(std::move(event), kPollTimeout);
 }
 
 io::Task<HttpReply> UserApi::answer_cancellation(const http::Message& request, std::string job) {
   if (request.method != "POST") co_return error(405, "POST only");
-  CoreDriver::Request event = [&](Controller& core, std::uint64_t number) { core.on_cancel(number, job); };
-  co_return co_await driver_.ask(std::move(event), kReplyTimeout);
+  CoreDriver::RequestHandler event = [&](Controller& core, std::uint64_t number) {
+    core.on_cancel(number, job);
+  };
+  co_return co_await driver_.submit(std::move(event), kReplyTimeout);
 }
 
 }  // namespace bendtide
