--- a/src/app/admin_api.cpp
+++ b/src/app/admin_api.cpp
@@ -8,9 +8,10 @@
 
 using What = AdminRequest::What;
 
-constexpr Micros kReplyTimeout = millis(4500);
+constexpr Micros kReplyTimeout = millis(4500);  ///< the core's time to answer a request
 constexpr char kMetricsType[] = "text/plain; version=0.0.4";
 
+/// A resource that is answered by the core.
 struct Resource {
   const char* path;
   What what;
@@ -21,8 +22,8 @@
                                    {"/admin/jobs", What::jobs},
                                    {"/admin/negotiations", What::negotiations}};
 
-io::Task<HttpReply> answer_error(int status, std::string why) {
-  co_return HttpReply{status, Value{{"error", why}}.dump(), 0, kJsonType};
+io::Task<HttpReply> answer_error(int status, std::string reason) {
+  co_return HttpReply{status, Value{{"error", reason}}.dump(), 0, kJsonType};
 }
 
 }  // namespace
@@ -36,7 +37,7 @@
   const bool is_policy = resource->what == What::policy;
   if (is_policy && request.method == "PATCH") return answer_policy_change(request);
   if (request.method != "GET") return answer_error(405, is_policy ? "GET or PATCH only" : "GET only");
-  return ask({resource->what, {}});
+  return submit({resource->what, {}});
 }
 
 io::Task<HttpReply> AdminApi::answer_metrics() {
@@ -48,14 +49,14 @@
 io::Task<HttpReply> AdminApi::answer_policy_change(const http::Message& request) {
   Value body = Value::parse(request.body, nullptr, false);
   if (body.is_discarded()) return answer_error(400, "body: not JSON");
-  return ask({What::change_policy, std::move(body)});
+  return submit({What::change_policy, std::move(body)});
 }
 
-io::Task<HttpReply> AdminApi::ask(AdminRequest request) {
-  CoreDriver::RequestHandler event = [&](Controller& core, std::uint64_t number) {
+io::Task<HttpReply> AdminApi::submit(AdminRequest request) {
+  CoreDriver::RequestHandler handler = [&](Controller& core, std::uint64_t number) {
     core.on_admin(number, request);
   };
-  co_return co_await driver_.submit(std::move(event), kReplyTimeout);
+  co_return co_await driver_.submit(std::move(handler), kReplyTimeout);
 }
 
 }  // namespace bendtide
