--- a/src/app/config_section.cpp
+++ b/src/app/config_section.cpp
@@ -7,7 +7,7 @@
 std::string ConfigSection::string(const char* key) const {
   auto value = table_[key].value<std::string>();
   if (!value) fail_type(key, "must be a string");
-  if (value->empty()) fail(key, "is empty");
+  if (value->empty()) fail(key, "must not be empty");
   return *value;
 }
 
@@ -30,13 +30,13 @@
 std::vector<std::string> ConfigSection::string_list(const char* key) const {
   const toml::array* list = table_[key].as_array();
   if (list == nullptr) fail_type(key, "must be a list");
-  std::vector<std::string> names;
+  std::vector<std::string> strings;
   for (const toml::node& node : *list) {
-    auto name = node.value<std::string>();
-    if (!name) fail(key, "must be a list of strings");
-    names.push_back(*name);
+    auto text = node.value<std::string>();
+    if (!text) fail(key, "must be a list of strings");
+    strings.push_back(*text);
   }
-  return names;
+  return strings;
 }
 
 ConfigSection ConfigSection::section(const char* key) const {
