--- a/src/app/config.cpp
+++ b/src/app/config.cpp
@@ -14,40 +14,40 @@
 
 namespace {
 
-/// Rounded down, but for the error of a decimal's binary form.
+/// Converts to thousandths, rounding down. The small offset makes up for decimal fractions that have no exact
+/// binary representation, so that 1.001 becomes 1001 and not 1000.
 std::int64_t to_thousandths(double amount) {
   return static_cast<std::int64_t>(std::floor(amount * 1000.0 + 1e-6));
 }
 
-std::optional<Objective::Kind> objective_kind(const std::string& word) {
-  if (word == "wait") return Objective::Kind::wait;
-  if (word == "finished") return Objective::Kind::finished;
-  if (word == "deadline") return Objective::Kind::deadline;
-  if (word == "guarantee") return Objective::Kind::guarantee;
+std::optional<Objective::Kind> parse_objective_kind(const std::string& name) {
+  if (name == "wait") return Objective::Kind::wait;
+  if (name == "finished") return Objective::Kind::finished;
+  if (name == "deadline") return Objective::Kind::deadline;
+  if (name == "guarantee") return Objective::Kind::guarantee;
   return std::nullopt;
 }
 
-/// None for an objective that has no effect here: its kind is new or decides on nothing, or it comes with
-/// other fields and so is meant otherwise.
+/// Returns the objective, or none if this version does not support it: its kind is unknown, or the fields
+/// that its kind requires are missing.
 std::optional<Objective> supported_objective(const ConfigSection& section) {
-  const std::optional<Objective::Kind> kind = objective_kind(section.string("kind"));
+  const std::optional<Objective::Kind> kind = parse_objective_kind(section.string("kind"));
   if (!kind) return std::nullopt;
-  const bool of_class = *kind != Objective::Kind::guarantee;
-  const char* measure = *kind == Objective::Kind::deadline ? "times" : "within_s";
-  if (!section.has(measure) || (of_class && !section.has("class"))) return std::nullopt;
+  const bool has_class = *kind != Objective::Kind::guarantee;
+  const char* bound_key = *kind == Objective::Kind::deadline ? "times" : "within_s";
+  if (!section.has(bound_key) || (has_class && !section.has("class"))) return std::nullopt;
   Objective objective;
   objective.kind = *kind;
-  if (of_class) objective.job_class = section.string("class");
-  const double amount = section.positive_number(measure);
+  if (has_class) objective.job_class = section.string("class");
+  const double bound = section.positive_number(bound_key);
   if (*kind == Objective::Kind::deadline)
-    objective.times = amount;
+    objective.times = bound;
   else
-    objective.within = seconds(amount);
+    objective.within = seconds(bound);
   return objective;
 }
 
-/// Reads the file section by section, in the order of the file: the error names the first
-/// key that does not fit.
+/// Reads the settings section by section and stops at the first invalid key, which the ConfigError names.
 class SettingsReader {
  public:
   Settings read(const ConfigSection& top) {
@@ -73,7 +73,7 @@
     std::set<std::string> hosts{settings_.host};
     top.for_each_table("known", [&](const ConfigSection& section) {
       Peer peer{section.string("host_name"), section.string("domain"), section.address("endpoint")};
-      if (!hosts.insert(peer.host).second) section.fail("host_name", "named twice");
+      if (!hosts.insert(peer.host).second) section.fail("host_name", "duplicate host name");
       check_host_name(section, peer.host);
       settings_.peers.push_back(std::move(peer));
     });
@@ -83,7 +83,8 @@
     settings_.store_address = external.address("state");
   }
 
-  /// Names of hosts become parts of keys in the key-value store.
+  /// Rejects host names with a slash: they become components of keys in the key-value store, which a slash
+  /// separates.
   static void check_host_name(const ConfigSection& section, const std::string& host) {
     if (host.find('/') != std::string::npos) section.fail("host_name", "must not contain '/'");
   }
@@ -92,12 +93,13 @@
     settings.for_each_table("teams", [&](const ConfigSection& section) {
       Team team;
       team.name = section.string("name");
-      if (settings_.team(team.name) != nullptr) section.fail("name", "named twice");
+      if (settings_.team(team.name) != nullptr) section.fail("name", "duplicate team name");
       team.guarantee.cpu = to_thousandths(section.non_negative_or_zero("cpus"));
       team.guarantee.gpu = to_thousandths(section.non_negative_or_zero("gpus"));
       team.limit.cpu = to_thousandths(section.non_negative_or_zero("cpus_max"));
       team.limit.gpu = to_thousandths(section.non_negative_or_zero("gpus_max"));
-      // "0 means none": a team with neither guarantee nor limit, a guest, may use all that is free.
+      // A limit of 0 CPUs and 0 GPUs, or none given, means unlimited. A team without a guarantee and without
+      // a limit may use all free capacity.
       if (team.limit == Quota{}) team.limit = kNoLimit;
       settings_.teams.push_back(std::move(team));
     });
@@ -118,9 +120,9 @@
     if (settings_.worker_lease < settings_.heartbeat_interval)
       section.fail("lease_s", "must not be below report_s");
     if (settings_.cancel_within <= settings_.worker_lease + seconds(2))
-      section.fail("cancel_s", "must be well above lease_s");
+      section.fail("cancel_s", "must exceed lease_s by more than 2 s");
     if (settings_.cancelled_gone_within() > settings_.cancel_within)
-      section.fail("cancel_s", "a cancelled task could not be gone in time: must be well above lease_s");
+      section.fail("cancel_s", "too short to stop a cancelled task in time; must be well above lease_s");
   }
 
   void read_store(const ConfigSection& section) {
@@ -154,7 +156,7 @@
 Settings load_settings(const std::string& path) {
   std::ifstream file(path);
   std::ostringstream text;
-  if (!file || !(text << file.rdbuf())) throw ConfigError("", "cannot be read");
+  if (!file || !(text << file.rdbuf())) throw ConfigError("", "file cannot be read");
   return parse_settings(text.str());
 }
 
--- a/src/app/config.h
+++ b/src/app/config.h
@@ -1,4 +1,4 @@
-// The settings file (TOML) that the platform hands over.
+// Parsing and validation of the settings file (TOML).
 #pragma once
 
 #include <stdexcept>
@@ -8,7 +8,7 @@
 
 namespace bendtide {
 
-/// What is wrong with a settings file. `what()` is one line that names the key.
+/// An error in a settings file. `what()` is one line that starts with the key, if the error concerns one.
 class ConfigError : public std::runtime_error {
  public:
   ConfigError(std::string key, std::string problem)
@@ -16,7 +16,7 @@
         key_(std::move(key)),
         problem_(std::move(problem)) {}
 
-  /// The whole path of the key, such as "settings.teams[0].name"; empty: the file as a whole.
+  /// The full path of the key, such as "settings.teams[0].name". Empty if the error concerns the whole file.
   const std::string& key() const { return key_; }
   const std::string& problem() const { return problem_; }
 
@@ -25,9 +25,9 @@
   std::string problem_;
 };
 
-/// Reads and checks a file; throws ConfigError.
+/// Reads and validates a settings file. Throws ConfigError.
 [[nodiscard]] Settings load_settings(const std::string& path);
-/// Reads and checks the text of a file; throws ConfigError.
+/// Parses and validates the text of a settings file. Throws ConfigError.
 [[nodiscard]] Settings parse_settings(const std::string& text);
 
 }  // namespace bendtide
