--- a/src/app/core_driver.cpp
+++ b/src/app/core_driver.cpp
@@ -18,18 +18,19 @@
 constexpr Micros kStoreTimeout = seconds(1);
 constexpr Micros kCloudTimeout = seconds(5);
 constexpr Micros kWorkerTimeout = millis(1500);
-constexpr std::size_t kStoreConnections = 8;
-constexpr std::size_t kCloudConnections = 2;
-constexpr std::size_t kLongestStoreBody = 1024 * 1024;
-constexpr std::size_t kLongestCloudBody = 512 * 1024;
-constexpr std::size_t kLongestWorkerBody = 512 * 1024;
+constexpr std::size_t kMaxIdleStoreConnections = 8;
+constexpr std::size_t kMaxIdleCloudConnections = 2;
+// Limits on the size of a response body.
+constexpr std::size_t kMaxStoreBodyBytes = 1024 * 1024;
+constexpr std::size_t kMaxCloudBodyBytes = 512 * 1024;
+constexpr std::size_t kMaxWorkerBodyBytes = 512 * 1024;
 
 std::uint64_t random_number() {
   std::random_device device;
   return (std::uint64_t{device()} << 32) | device();
 }
 
-/// Another one for each start of a controller.
+/// Returns a random identifier that tells this run of the process from earlier runs on the same host.
 std::string make_incarnation() {
   char text[17];
   std::snprintf(text, sizeof text, "%016llx", static_cast<unsigned long long>(random_number()));
@@ -52,9 +53,10 @@
   return spdlog::level::debug;
 }
 
-/// A call that was surely not sent is refused; one without a response is of unknown outcome.
+/// Converts the result of an HTTP call. The outcome is "refused" if the request was certainly not sent, and
+/// "unknown" if it may have been sent and no valid HTTP response arrived.
 template <class Response, class Parse>
-Response response_of(const io::HttpClient::Result& result, Parse&& parse) {
+Response to_response(const io::HttpClient::Result& result, Parse&& parse) {
   Response response;
   if (!result.sent)
     response.outcome = Response::Outcome::refused;
@@ -71,8 +73,8 @@
       metrics_(metrics),
       log_(std::move(log)),
       core_(settings, make_incarnation(), random_number()),
-      store_(loop, settings.store_address, kStoreConnections, kLongestStoreBody),
-      cloud_(loop, settings.cloud_address, kCloudConnections, kLongestCloudBody) {
+      store_(loop, settings.store_address, kMaxIdleStoreConnections, kMaxStoreBodyBytes),
+      cloud_(loop, settings.cloud_address, kMaxIdleCloudConnections, kMaxCloudBodyBytes) {
   core_.write_debug_lines(log_->should_log(spdlog::level::debug));
   for (const Peer& peer : settings.peers)
     peers_.emplace(peer.host, std::make_unique<PeerLink>(loop, settings.host, peer.endpoint));
@@ -90,7 +92,7 @@
   }
 }
 
-void CoreDriver::begin_event() { core_.at(loop_.now(), wall_clock_now()); }
+void CoreDriver::update_core_clocks() { core_.at(loop_.now(), wall_clock_now()); }
 
 void CoreDriver::perform_actions() {
   for (Action& action : core_.take_actions(loop_.now()))
@@ -118,26 +120,26 @@
 void CoreDriver::perform(WorkerCall& call) { loop_.spawn(call_worker(call.call, std::move(call.request))); }
 
 template <class Response, class ServiceRequest, class Parse, class Deliver>
-io::Task<> CoreDriver::call_service(io::HttpClient& client, ServiceRequest request, Micros within,
+io::Task<> CoreDriver::call_service(io::HttpClient& client, ServiceRequest request, Micros timeout,
                                     Metrics::Kind kind, Parse parse, Deliver deliver) {
-  const Micros began = loop_.now();
+  const Micros started_at = loop_.now();
   wire::HttpRequest http = wire::request_of(request);
   auto result =
-      co_await client.call(std::move(http.method), std::move(http.target), std::move(http.body), within);
-  const auto response = response_of<Response>(
+      co_await client.call(std::move(http.method), std::move(http.target), std::move(http.body), timeout);
+  const auto response = to_response<Response>(
       result, [&](int status, const std::string& body) { return parse(request, status, body); });
-  metrics_.observe(kind, loop_.now() - began, result.status != 0 && result.status < 500);
+  metrics_.observe(kind, loop_.now() - started_at, result.status != 0 && result.status < 500);
   handle([&](Controller& core) { deliver(core, response); });
 }
 
 io::Task<> CoreDriver::call_worker(std::uint64_t call, CommandRequest request) {
   wire::HttpRequest http = wire::request_of(request);
-  const Micros began = loop_.now();
-  io::HttpClient client(loop_, request.address, 0, kLongestWorkerBody);
+  const Micros started_at = loop_.now();
+  io::HttpClient client(loop_, request.address, 0, kMaxWorkerBodyBytes);
   auto result = co_await client.call(std::move(http.method), std::move(http.target), std::move(http.body),
                                      kWorkerTimeout);
-  const auto response = response_of<CommandResponse>(result, wire::parse_command_response);
-  metrics_.observe(Metrics::Kind::commands, loop_.now() - began,
+  const auto response = to_response<CommandResponse>(result, wire::parse_command_response);
+  metrics_.observe(Metrics::Kind::commands, loop_.now() - started_at,
                    response.outcome == CommandResponse::Outcome::executed);
   handle([&](Controller& core) { core.on_command_response(call, response); });
 }
@@ -151,19 +153,19 @@
 
 // ---- replies -------------------------------------------------------------------------------------
 
-io::Task<HttpReply> CoreDriver::submit(RequestHandler request, Micros within) {
+io::Task<HttpReply> CoreDriver::submit(RequestHandler handler, Micros timeout) {
   const std::uint64_t number = next_request_++;
-  Pending& pending = *pending_.emplace(number, std::make_unique<Pending>()).first->second;
-  handle([&](Controller& core) { request(core, number); });
+  PendingRequest& pending = *pending_.emplace(number, std::make_unique<PendingRequest>()).first->second;
+  handle([&](Controller& core) { handler(core, number); });
   bool in_time = pending.reply.has_value();
-  if (!in_time) in_time = co_await loop_.wait(pending.waiter, loop_.now() + within);
+  if (!in_time) in_time = co_await loop_.wait(pending.waiter, loop_.now() + timeout);
   HttpReply reply{503, "{}", 1, kJsonType};
   if (in_time && pending.reply) reply = std::move(*pending.reply);
   pending_.erase(number);
   co_return reply;
 }
 
-void CoreDriver::reply(std::uint64_t request, HttpReply reply) {
+void CoreDriver::deliver_reply(std::uint64_t request, HttpReply reply) {
   const auto found = pending_.find(request);
   if (found == pending_.end()) return;
   found->second->reply = std::move(reply);
@@ -172,15 +174,16 @@
 
 void CoreDriver::perform(AnswerUser& answer) {
   const UserReply& user_reply = answer.reply;
-  reply(answer.request, {user_reply.status, wire::body_of(user_reply), user_reply.retry_after_s, kJsonType});
+  deliver_reply(answer.request,
+                {user_reply.status, wire::body_of(user_reply), user_reply.retry_after_s, kJsonType});
 }
 
 void CoreDriver::perform(AnswerHeartbeat& answer) {
-  reply(answer.request, {answer.reply.status, wire::body_of(answer.reply), 0, kJsonType});
+  deliver_reply(answer.request, {answer.reply.status, wire::body_of(answer.reply), 0, kJsonType});
 }
 
 void CoreDriver::perform(AnswerAdmin& answer) {
-  reply(answer.request, {answer.status, answer.body.dump(2), 0, kJsonType});
+  deliver_reply(answer.request, {answer.status, answer.body.dump(2), 0, kJsonType});
 }
 
 }  // namespace bendtide
--- a/src/app/core_driver.h
+++ b/src/app/core_driver.h
@@ -1,5 +1,5 @@
-// Drives the core: hands it events with the time at which they happen, and carries out the actions that
-// follow.
+// Connects the core, which does no I/O, to the event loop: passes events with their time to the core and
+// performs the actions that the core returns.
 #pragma once
 
 #include <cstdint>
@@ -21,22 +21,22 @@
 
 namespace bendtide {
 
-/// Owns the core and the connections to all that the core calls: the key-value store, the cloud, the workers
-/// and the other controllers. Its coroutines refer to it: it has to outlive the last run of the loop. One
-/// thread, that of the loop.
+/// Owns the core and its connections to the key-value store, the cloud, the workers and the other
+/// controllers. Must outlive the last run of the loop, because its coroutines refer to it. Not thread-safe:
+/// use it on the thread of the loop only.
 class CoreDriver {
  public:
   CoreDriver(const Settings& settings, io::Loop& loop, Metrics& metrics, std::shared_ptr<spdlog::logger> log);
 
-  /// Spawns the links to the other controllers and the core's regular tick.
+  /// Starts the links to the other controllers and the periodic tick of the core.
   void start();
 
-  /// The only way to the core: passes the steady and the wall time and an event to it, and carries out the
-  /// actions that follow from it. Returns what the event returns. If the event throws, nothing is carried
-  /// out.
+  /// Sets the core's steady and wall clocks, calls `event` with the core, performs the resulting actions, and
+  /// returns the value that `event` returned. All changes to the core go through this function. If `event`
+  /// throws, no action is performed.
   template <class Event>
   std::invoke_result_t<Event, Controller&> handle(Event&& event) {
-    begin_event();
+    update_core_clocks();
     if constexpr (std::is_void_v<std::invoke_result_t<Event, Controller&>>) {
       event(core_);
       perform_actions();
@@ -47,31 +47,34 @@
     }
   }
 
-  /// An event that the core answers later, under this number.
+  /// Passes a request to the core. The core replies later, referring to the request by its number.
   using RequestHandler = std::function<void(Controller& core, std::uint64_t request)>;
-  /// Hands a request to the core and waits for the reply; 503 if there is none within `within`. The request
-  /// is handed over before this first suspends.
+  /// Passes a request to the core and waits for the reply. Returns status 503 if there is none within
+  /// `timeout`. `handler` is called before the coroutine suspends for the first time.
   ///
-  /// Callers name `request` before they await: GCC 12 destroys temporaries of a co_await expression twice.
-  io::Task<HttpReply> submit(RequestHandler request, Micros within);
+  /// `handler` must be a named variable moved into the call: GCC 12 destroys some temporaries of a co_await
+  /// expression twice.
+  io::Task<HttpReply> submit(RequestHandler handler, Micros timeout);
 
-  /// Whether `host` is one of the other controllers.
+  /// Whether `host` is one of the other controllers in the settings.
   bool is_peer(const std::string& host) const { return peers_.contains(host); }
-  /// For what is read without an event: the core's own counts.
+  /// Read-only access outside of an event, for example to the core's counters.
   const Controller& core() const { return core_; }
 
  private:
-  /// A request that waits for the core's reply.
-  struct Pending {
+  /// A request that is waiting for the reply of the core.
+  struct PendingRequest {
     io::Waiter waiter;
     std::optional<HttpReply> reply;
   };
 
-  void begin_event();
+  void update_core_clocks();
+  /// Performs the actions that the core has queued.
   void perform_actions();
+  /// Calls Controller::tick() periodically; never returns.
   io::Task<> tick();
 
-  // One for each kind of action.
+  // One overload for each kind of action.
   void perform(StoreCall& call);
   void perform(CloudCall& call);
   void perform(WorkerCall& call);
@@ -81,14 +84,16 @@
   void perform(AnswerAdmin& answer);
   void perform(LogLine& line);
 
-  /// Sends a request to a service and hands the response to the core.
-  /// `parse`: (request, status, body) -> Response; `deliver`: (core, response).
+  /// Sends a request to a service and passes the response to the core.
+  /// `parse`: called with (request, status, body); returns the Response.
+  /// `deliver`: called with (core, response).
   template <class Response, class ServiceRequest, class Parse, class Deliver>
-  io::Task<> call_service(io::HttpClient& client, ServiceRequest request, Micros within, Metrics::Kind kind,
+  io::Task<> call_service(io::HttpClient& client, ServiceRequest request, Micros timeout, Metrics::Kind kind,
                           Parse parse, Deliver deliver);
+  /// Sends commands to a worker, on a connection of their own, and passes the response to the core.
   io::Task<> call_worker(std::uint64_t call, CommandRequest request);
-  /// Passes the reply on, unless the request has been given up.
-  void reply(std::uint64_t request, HttpReply reply);
+  /// Wakes the coroutine that is waiting for the reply. Does nothing if the request has timed out.
+  void deliver_reply(std::uint64_t request, HttpReply reply);
 
   io::Loop& loop_;
   Metrics& metrics_;
@@ -96,8 +101,8 @@
   Controller core_;
   io::HttpClient store_;
   io::HttpClient cloud_;
-  std::map<std::string, std::unique_ptr<PeerLink>> peers_;  ///< by host
-  std::map<std::uint64_t, std::unique_ptr<Pending>> pending_;
+  std::map<std::string, std::unique_ptr<PeerLink>> peers_;            ///< by host
+  std::map<std::uint64_t, std::unique_ptr<PendingRequest>> pending_;  ///< by request number
   std::uint64_t next_request_ = 1;
 };
 
