--- a/src/app/daemon.cpp
+++ b/src/app/daemon.cpp
@@ -9,16 +9,21 @@
 
 namespace {
 
-constexpr Micros kIdleTimeout = seconds(60);  ///< for a connection on which nothing arrives
+/// Closes an HTTP connection, or a new connection of any kind, on which nothing arrives.
+constexpr Micros kIdleTimeout = seconds(60);
 constexpr Micros kWriteTimeout = seconds(5);
-/// A link between controllers is silent while there is nothing to send; one whose other side is gone for good
-/// ends with this.
+/// Longer than kIdleTimeout, because a controller that has nothing to send keeps its connection open in
+/// silence. Closes the connections of controllers that are permanently gone.
 constexpr Micros kPeerIdleTimeout = seconds(600);
 constexpr std::size_t kInternalBacklog = 64;
 
-/// The rest of the sockets is for the services we call, the peers and pushed commands.
-std::size_t most_connections_for_users(const Settings& settings) { return settings.sockets * 3 / 4; }
-std::size_t most_connections(const Settings& settings) { return settings.sockets * 7 / 8; }
+// Limits on accepted connections. The remaining sockets are reserved for outgoing connections: to the
+// key-value store and the cloud, to the other controllers, and to workers for commands.
+
+/// The number of connections above which the public address accepts no more.
+std::size_t max_connections_for_users(const Settings& settings) { return settings.sockets * 3 / 4; }
+/// The number of connections above which the internal address, for peers and operators, accepts no more.
+std::size_t max_connections(const Settings& settings) { return settings.sockets * 7 / 8; }
 
 }  // namespace
 
@@ -29,12 +34,12 @@
       user_api_(driver_),
       admin_api_(driver_, metrics_) {
   loop_.on_error = [this](const std::string& what) {
-    log_->error("{}", LogMessage("task failed").why(what).text());
+    log_->error("{}", LogMessage("coroutine failed").why(what).text());
   };
 }
 
 void Daemon::run() {
-  log_->info("{}", LogMessage("controller starts")
+  log_->info("{}", LogMessage("controller starting")
                        .zone(settings_.zone)
                        .detail("host", settings_.host)
                        .detail("peers", settings_.peers.size())
@@ -42,7 +47,7 @@
   std::string ignored;
   for (const std::string& kind : settings_.ignored_objectives) ignored += (ignored.empty() ? "" : ",") + kind;
   if (!ignored.empty())
-    log_->info("{}", LogMessage("objectives without effect").detail("kinds", ignored).text());
+    log_->info("{}", LogMessage("unsupported objectives ignored").detail("kinds", ignored).text());
   loop_.spawn(accept_users());
   loop_.spawn(accept_internal());
   driver_.start();
@@ -55,17 +60,19 @@
   io::Socket listener = io::Socket::listen(loop_, settings_.api_address, settings_.sockets);
   for (;;) {
     io::Socket socket = co_await listener.accept();
-    // Health checks, workers and users with a request come before connections without one.
-    if (connections_ >= most_connections_for_users(settings_) && !close_longest_idle()) continue;
+    // At the limit, a new connection replaces the one that has been idle the longest. If none is idle, the
+    // new connection is closed.
+    if (connections_ >= max_connections_for_users(settings_) && !close_longest_idle_connection()) continue;
     loop_.spawn(serve_users(std::move(socket)));
   }
 }
 
-bool Daemon::close_longest_idle() {
-  if (idle_.empty()) return false;
-  idle_.front()->stop_reading();
-  // Its coroutine removes it from the list once it is resumed; until then, others come first.
-  idle_.splice(idle_.end(), idle_, idle_.begin());
+bool Daemon::close_longest_idle_connection() {
+  if (idle_sockets_.empty()) return false;
+  idle_sockets_.front()->stop_reading();
+  // The coroutine that serves the connection removes it from the list only when it is resumed. Until then,
+  // moving it to the end lets further calls close other connections.
+  idle_sockets_.splice(idle_sockets_.end(), idle_sockets_, idle_sockets_.begin());
   return true;
 }
 
@@ -105,18 +112,18 @@
 io::Task<bool> Daemon::read_request(io::Socket& socket, std::string& buffer, Audience audience) {
   const bool is_idle = buffer.empty() && audience == Audience::users;
   if (buffer.empty()) buffer.shrink_to_fit();
-  const auto place = is_idle ? idle_.insert(idle_.end(), &socket) : idle_.end();
+  const auto idle_entry = is_idle ? idle_sockets_.insert(idle_sockets_.end(), &socket) : idle_sockets_.end();
   const bool more = co_await socket.read(buffer, loop_.now() + kIdleTimeout);
-  if (is_idle) idle_.erase(place);
+  if (is_idle) idle_sockets_.erase(idle_entry);
   co_return more;
 }
 
 io::Task<HttpReply> Daemon::answer(const http::Message& request, Audience audience) {
   if (audience == Audience::operators) co_return co_await admin_api_.answer(request);
-  const Micros began = loop_.now();
+  const Micros started_at = loop_.now();
   HttpReply reply = co_await user_api_.answer(request);
   const bool is_worker = request.target == wire::names::kHeartbeatPath;
-  metrics_.observe(is_worker ? Metrics::Kind::worker : Metrics::Kind::user, loop_.now() - began,
+  metrics_.observe(is_worker ? Metrics::Kind::worker : Metrics::Kind::user, loop_.now() - started_at,
                    reply.status < 500);
   co_return reply;
 }
@@ -127,7 +134,7 @@
   io::Socket listener = io::Socket::listen(loop_, settings_.internal_address, kInternalBacklog);
   for (;;) {
     io::Socket socket = co_await listener.accept();
-    if (connections_ < most_connections(settings_)) loop_.spawn(serve_internal(std::move(socket)));
+    if (connections_ < max_connections(settings_)) loop_.spawn(serve_internal(std::move(socket)));
   }
 }
 
@@ -147,7 +154,7 @@
   for (;;) {
     codec::Decoded frame = codec::decode(buffer);
     if (frame.state == codec::Decoded::State::malformed) {
-      log_->error("{}", LogMessage("peer connection closed").why("its message can't be read").text());
+      log_->error("{}", LogMessage("peer connection closed").why("malformed message").text());
       co_return;
     }
     if (frame.state == codec::Decoded::State::incomplete) {
--- a/src/app/daemon.h
+++ b/src/app/daemon.h
@@ -1,4 +1,4 @@
-// The shell around the core: listens, and serves the connections of users, workers, operators and peers.
+// The controller process: listens, and serves the connections of users, workers, operators and peers.
 #pragma once
 
 #include <list>
@@ -13,33 +13,38 @@
 
 namespace bendtide {
 
-/// One controller's process. Everything runs in one thread, on one loop.
+/// Runs one controller. All of it runs on one event loop in one thread.
 class Daemon {
  public:
   Daemon(const Settings& settings, std::shared_ptr<spdlog::logger> log);
 
-  /// Listens and serves; throws if it can't listen.
+  /// Listens and serves; does not return. If an address cannot be bound, the error is logged and the process
+  /// keeps running.
   void run();
 
  private:
-  /// Whom an HTTP connection belongs to, by the address that it came to.
+  /// The API that an HTTP connection uses, given by the address that accepted it. `users` includes workers.
   enum class Audience { users, operators };
 
   io::Task<> accept_users();
   io::Task<> accept_internal();
   io::Task<> serve_users(io::Socket socket);
-  /// Peers and operators share an address; the first byte distinguishes them.
+  /// Serves a connection of a peer or an operator. Both use the internal address; the first byte tells which
+  /// protocol the connection speaks.
   io::Task<> serve_internal(io::Socket socket);
-  /// `buffer`: what has been read already.
+  /// `buffer`: the bytes that have been read already.
   io::Task<> serve_peer(io::Socket socket, std::string buffer);
-  /// Ignores a message whose sender is none of the peers in the settings.
+  /// Passes a message to the core. Ignores it if its sender is not a peer in the settings.
   void on_peer_message(const codec::Envelope& envelope);
+  /// Answers the requests on a connection until it is closed. `buffer`: the bytes that have been read
+  /// already.
   io::Task<> serve_http(io::Socket socket, std::string buffer, Audience audience);
-  /// Waits for more of a request. False if the connection is over.
+  /// Reads more bytes of a request into `buffer`. Returns false if the connection was closed, failed or timed
+  /// out.
   io::Task<bool> read_request(io::Socket& socket, std::string& buffer, Audience audience);
   io::Task<HttpReply> answer(const http::Message& request, Audience audience);
-  /// Ends the users' connection that has been idle for longest; false if none is idle.
-  bool close_longest_idle();
+  /// Closes the user connection that has been idle the longest. Returns false if none is idle.
+  bool close_longest_idle_connection();
 
   Settings settings_;
   std::shared_ptr<spdlog::logger> log_;
@@ -48,8 +53,8 @@
   CoreDriver driver_;
   UserApi user_api_;
   AdminApi admin_api_;
-  std::size_t connections_ = 0;
-  std::list<io::Socket*> idle_;  ///< users' connections without a request under way, the longest idle first
+  std::size_t connections_ = 0;          ///< accepted on either address
+  std::list<io::Socket*> idle_sockets_;  ///< user connections waiting for a request, longest idle first
 };
 
 }  // namespace bendtide
