--- a/src/app/http_reply.h
+++ b/src/app/http_reply.h
@@ -1,4 +1,4 @@
-// What is answered to an HTTP request, before HTTP's own framing (http/).
+// The content of a response to an HTTP request; http/ adds the framing.
 #pragma once
 
 #include <string>
@@ -10,8 +10,8 @@
 struct HttpReply {
   int status = 503;
   std::string body = "{}";
-  int retry_after_s = 0;  ///< 0: no such header
-  std::string type = kJsonType;
+  int retry_after_s = 0;         ///< value of the Retry-After header; 0: the header is omitted
+  std::string type = kJsonType;  ///< value of the Content-Type header
 };
 
 }  // namespace bendtide
