--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -1,5 +1,5 @@
-// The command line: bendtide --config FILE [--check-config]. Ends with 1 if the settings can't be read or the
-// controller can't start.
+// The command line: bendtide --config FILE [--check-config]. Exits with 1 if the settings are invalid or the
+// controller cannot be set up.
 
 #include <spdlog/sinks/stdout_sinks.h>
 #include <spdlog/spdlog.h>
@@ -13,9 +13,8 @@
 
 namespace {
 
-/// The level that the environment asks for in LOG_LEVEL: error, info or debug; info if it asks for none of
-/// these.
-spdlog::level::level_enum wanted_level() {
+/// Returns the log level from the environment variable LOG_LEVEL: error, info or debug. The default is info.
+spdlog::level::level_enum log_level_from_environment() {
   const char* const value = std::getenv("LOG_LEVEL");
   const std::string level = value == nullptr ? "" : value;
   if (level == "error") return spdlog::level::err;
@@ -23,18 +22,19 @@
   return spdlog::level::info;
 }
 
-/// Logs to standard error, each line with its time and the controller's host.
-std::shared_ptr<spdlog::logger> make_log(const std::string& host) {
+/// Creates a logger to standard error. Each line starts with its time, the controller's host and the level.
+std::shared_ptr<spdlog::logger> make_logger(const std::string& host) {
   auto log = std::make_shared<spdlog::logger>(host, std::make_shared<spdlog::sinks::stderr_sink_st>());
-  log->set_level(wanted_level());
+  log->set_level(log_level_from_environment());
   log->set_pattern("%Y-%m-%d %H:%M:%S.%e %n %l %v");
   return log;
 }
 
 }  // namespace
 
-// What may throw here is the command line's own table, before anything has begun.
-int main(int argc, char** argv) {  // NOLINT(bugprone-exception-escape): ends the program with its message
+// Only the setup of the command-line parser can throw out of main(). The exception ends the program with its
+// message before anything has started.
+int main(int argc, char** argv) {  // NOLINT(bugprone-exception-escape): see above
   CLI::App app{"bendtide: a cluster scheduler; one controller per process"};
   std::string config;
   bool check = false;
@@ -45,10 +45,10 @@
   try {
     const bendtide::Settings settings = bendtide::load_settings(config);
     if (check) {
-      std::cout << config << ": good\n";
+      std::cout << config << ": valid\n";
       return 0;
     }
-    auto log = make_log(settings.host);
+    auto log = make_logger(settings.host);
     bendtide::Daemon daemon(settings, log);
     daemon.run();
     return 0;
