--- a/src/app/metrics.cpp
+++ b/src/app/metrics.cpp
@@ -9,13 +9,14 @@
 namespace bendtide {
 
 Metrics::Metrics() : registry_(std::make_shared<prometheus::Registry>()) {
-  auto& seconds = prometheus::BuildHistogram()
-                      .Name("bendtide_request_seconds")
-                      .Help("Time to answer requests of users and workers, and of calls to other services")
-                      .Register(*registry_);
+  auto& seconds =
+      prometheus::BuildHistogram()
+          .Name("bendtide_request_seconds")
+          .Help("Duration of requests from users and workers and of calls to other services, in seconds")
+          .Register(*registry_);
   auto& failures = prometheus::BuildCounter()
                        .Name("bendtide_request_failures_total")
-                       .Help("Requests and calls without the answer that was wanted")
+                       .Help("Requests and calls that failed")
                        .Register(*registry_);
   const prometheus::Histogram::BucketBoundaries buckets{0.001, 0.003, 0.01, 0.03, 0.1, 0.3, 1.0, 3.0};
   const char* const labels[kKinds] = {"user", "worker", "state", "cloud", "orders"};
@@ -23,23 +24,24 @@
     series_[i] = {&seconds.Add({{"kind", labels[i]}}, buckets), &failures.Add({{"kind", labels[i]}})};
   auto& violations = prometheus::BuildGauge()
                          .Name("bendtide_invariant_violations")
-                         .Help("Violations of what must always hold, since the start; none is expected")
+                         .Help("Invariant violations since the start of the process; expected to be 0")
                          .Register(*registry_);
   for (std::size_t i = 0; i < kInvariants; ++i)
     violations_[i] = &violations.Add({{"invariant", kInvariantNames[i]}});
-  answers_not_acted_on_ = &prometheus::BuildGauge()
-                               .Name("bendtide_answers_not_acted_on")
-                               .Help("Answers that came too late to be acted on, since the start")
-                               .Register(*registry_)
-                               .Add({});
+  answers_not_acted_on_ =
+      &prometheus::BuildGauge()
+           .Name("bendtide_answers_not_acted_on")
+           .Help("Answers that arrived too late to be acted on, since the start of the process")
+           .Register(*registry_)
+           .Add({});
 }
 
 Metrics::~Metrics() = default;
 
-void Metrics::observe(Kind kind, Micros took, bool good) {
+void Metrics::observe(Kind kind, Micros elapsed, bool succeeded) {
   Series& series = series_[static_cast<std::size_t>(kind)];
-  series.seconds->Observe(in_seconds(took));
-  if (!good) series.failures->Increment();
+  series.seconds->Observe(in_seconds(elapsed));
+  if (!succeeded) series.failures->Increment();
 }
 
 void Metrics::set_core(const InvariantCounts& invariants, std::uint64_t answers_not_acted_on) {
--- a/src/app/metrics.h
+++ b/src/app/metrics.h
@@ -1,4 +1,4 @@
-// Counters and histograms of one controller, in the text format that Prometheus scrapes.
+// Metrics of one controller, exposed in the Prometheus text format.
 #pragma once
 
 #include <memory>
@@ -18,23 +18,26 @@
 
 namespace bendtide {
 
-/// One thread. The names of metrics and labels are part of the operators' interface.
+/// The names of metrics and labels are an interface that operators depend on. Not thread-safe.
 class Metrics {
  public:
   Metrics();
   ~Metrics();
 
-  /// Requests by who sends them, and calls by who receives them. The labels in the text are older names.
+  /// Requests by their sender (user, worker) and calls by their receiver. Some labels in the text differ from
+  /// the enumerators: `store` is "state" and `commands` is "orders".
   enum class Kind { user, worker, store, cloud, commands };
-  /// Counts one answered request or finished call; `took` is a span of the steady clock, `good` tells whether
-  /// it got the reply that was wanted.
-  void observe(Kind kind, Micros took, bool good);
-  /// Takes over what the core counts itself.
+  /// Records an answered request or a finished call. `elapsed` is measured with the steady clock.
+  /// `succeeded`: whether a request was answered without a server error, or a call got the response that it
+  /// needs.
+  void observe(Kind kind, Micros elapsed, bool succeeded);
+  /// Sets the metrics that the core counts itself.
   void set_core(const InvariantCounts& invariants, std::uint64_t answers_not_acted_on);
-  /// All metrics as text.
+  /// Returns all metrics in the Prometheus text format.
   [[nodiscard]] std::string text() const;
 
  private:
+  /// The metrics of one Kind.
   struct Series {
     prometheus::Histogram* seconds = nullptr;
     prometheus::Counter* failures = nullptr;
