--- a/src/app/peer_link.h
+++ b/src/app/peer_link.h
@@ -1,4 +1,5 @@
-// The link to one other controller: a bounded queue of frames, and a connection that is made again as needed.
+// The outgoing link to another controller: a bounded queue of frames and a connection that is reopened on
+// demand.
 #pragma once
 
 #include <deque>
@@ -8,36 +9,38 @@
 
 namespace bendtide {
 
-/// One direction only: what the other controller sends comes over its own link. Messages may be lost, and the
-/// protocol allows for it: all of them are hints, or questions with a time limit.
+/// Sends messages in one direction only; the other controller sends over a link of its own. Messages may be
+/// lost. The protocol tolerates that: each message is a hint, or a question with a time limit.
 class PeerLink {
  public:
-  /// `self`: the host that the frames name as their sender. `address`: HOST:PORT of the other controller.
+  /// `self`: the host of this controller, which frames carry as their sender. `address`: HOST:PORT of the
+  /// other controller.
   PeerLink(io::Loop& loop, std::string self, std::string address)
       : loop_(loop), self_(std::move(self)), address_(std::move(address)) {}
 
-  /// Queues a message. If the queue is full, the oldest is dropped; so is what could not be sent for a
-  /// second.
+  /// Queues a message. If the queue is full, its oldest message is dropped. Messages that could not be sent
+  /// within one second are dropped too.
   void send(PeerMessage message);
-  /// Sends what is queued; never ends. Spawned once; the link has to outlive it.
+  /// Sends queued messages; never returns. Must be spawned exactly once, and the link must outlive it.
   io::Task<> run();
 
  private:
+  /// An encoded message.
   struct Frame {
     Micros queued_at;  ///< steady clock
     std::string bytes;
   };
-  void drop_delayed_frames();
-  /// All queued frames, one behind the other; the queue is empty afterwards.
-  std::string take_queue();
+  void drop_expired_frames();
+  /// Empties the queue and returns its frames, concatenated.
+  std::string take_queued_bytes();
 
-  static constexpr std::size_t kLongestQueue = 256;
+  static constexpr std::size_t kMaxQueuedFrames = 256;
 
   io::Loop& loop_;
   std::string self_;
   std::string address_;
   std::deque<Frame> queue_;
-  io::Waiter more_;  ///< woken when a frame is queued
+  io::Waiter frame_queued_;  ///< woken when a frame is queued
 };
 
 }  // namespace bendtide
