--- a/src/app/user_api.cpp
+++ b/src/app/user_api.cpp
@@ -10,17 +10,17 @@
 
 namespace {
 
-constexpr Micros kReplyTimeout = millis(4500);  ///< users and workers wait hardly longer
-constexpr Micros kPollTimeout = millis(1900);   ///< users wait 2 s for the state of a job
+constexpr Micros kReplyTimeout = millis(4500);  ///< users and workers give up after about this time
+constexpr Micros kPollTimeout = millis(1900);   ///< below the 2 s that users wait for the state of a job
 
-HttpReply error(int status, const std::string& why) {
+HttpReply error_reply(int status, const std::string& reason) {
   UserReply reply;
   reply.status = status;
-  reply.error = why;
+  reply.error = reason;
   return {status, wire::body_of(reply), 0, kJsonType};
 }
 
-io::Task<HttpReply> answer_error(int status, std::string why) { co_return error(status, why); }
+io::Task<HttpReply> answer_error(int status, std::string reason) { co_return error_reply(status, reason); }
 
 }  // namespace
 
@@ -41,51 +41,52 @@
 }
 
 io::Task<HttpReply> UserApi::answer_health(const http::Message& request) {
-  if (request.method != "GET") co_return error(405, "GET only");
+  if (request.method != "GET") co_return error_reply(405, "GET only");
   const bool healthy = driver_.handle([](Controller& core) { return core.healthy(); });
   if (healthy) co_return HttpReply{200, "{}", 0, kJsonType};
   co_return HttpReply{503, "{}", 1, kJsonType};
 }
 
 io::Task<HttpReply> UserApi::answer_heartbeat(const http::Message& request) {
-  if (request.method != "POST") co_return error(405, "POST only");
+  if (request.method != "POST") co_return error_reply(405, "POST only");
   const auto parsed = wire::parse_heartbeat(request.body);
-  if (const auto* problem = std::get_if<wire::FieldError>(&parsed)) co_return error(400, problem->text());
-  CoreDriver::RequestHandler event = [&](Controller& core, std::uint64_t number) {
+  if (const auto* problem = std::get_if<wire::FieldError>(&parsed))
+    co_return error_reply(400, problem->text());
+  CoreDriver::RequestHandler handler = [&](Controller& core, std::uint64_t number) {
     core.on_heartbeat(number, std::get<Heartbeat>(parsed));
   };
-  co_return co_await driver_.submit(std::move(event), kReplyTimeout);
+  co_return co_await driver_.submit(std::move(handler), kReplyTimeout);
 }
 
 io::Task<HttpReply> UserApi::answer_submission(const http::Message& request) {
-  if (request.method != "POST") co_return error(405, "POST only");
+  if (request.method != "POST") co_return error_reply(405, "POST only");
   const auto parsed = wire::parse_job_spec(request.body);
   const auto* problem = std::get_if<wire::FieldError>(&parsed);
   const std::string job = problem == nullptr ? "" : wire::find_job_id(request.body);
-  if (problem != nullptr && job.empty()) co_return error(400, problem->text());
-  CoreDriver::RequestHandler event = [&](Controller& core, std::uint64_t number) {
+  if (problem != nullptr && job.empty()) co_return error_reply(400, problem->text());
+  CoreDriver::RequestHandler handler = [&](Controller& core, std::uint64_t number) {
     if (problem == nullptr)
       core.on_submit(number, std::get<JobSpec>(parsed));
     else
       core.on_malformed(number, job, problem->text());
   };
-  co_return co_await driver_.submit(std::move(event), kReplyTimeout);
+  co_return co_await driver_.submit(std::move(handler), kReplyTimeout);
 }
 
 io::Task<HttpReply> UserApi::answer_poll(const http::Message& request, std::string job) {
-  if (request.method != "GET") co_return error(405, "GET only");
-  CoreDriver::RequestHandler event = [&](Controller& core, std::uint64_t number) {
+  if (request.method != "GET") co_return error_reply(405, "GET only");
+  CoreDriver::RequestHandler handler = [&](Controller& core, std::uint64_t number) {
     core.on_poll(number, job);
   };
-  co_return co_await driver_.submit(std::move(event), kPollTimeout);
+  co_return co_await driver_.submit(std::move(handler), kPollTimeout);
 }
 
 io::Task<HttpReply> UserApi::answer_cancellation(const http::Message& request, std::string job) {
-  if (request.method != "POST") co_return error(405, "POST only");
-  CoreDriver::RequestHandler event = [&](Controller& core, std::uint64_t number) {
+  if (request.method != "POST") co_return error_reply(405, "POST only");
+  CoreDriver::RequestHandler handler = [&](Controller& core, std::uint64_t number) {
     core.on_cancel(number, job);
   };
-  co_return co_await driver_.submit(std::move(event), kReplyTimeout);
+  co_return co_await driver_.submit(std::move(handler), kReplyTimeout);
 }
 
 }  // namespace bendtide
--- a/src/app/user_api.h
+++ b/src/app/user_api.h
@@ -1,4 +1,4 @@
-// The API that users and workers call: health, heartbeats and jobs.
+// The HTTP API for users and workers: health, heartbeats and jobs.
 #pragma once
 
 #include <string>
@@ -8,15 +8,16 @@
 
 namespace bendtide {
 
+/// Serves the public address: parses requests, passes them to the core and returns its replies.
 class UserApi {
  public:
   explicit UserApi(CoreDriver& driver) : driver_(driver) {}
 
-  /// `request` has to outlive the task.
+  /// Returns the reply to an HTTP request. `request` must outlive the task.
   io::Task<HttpReply> answer(const http::Message& request);
 
  private:
-  // One for each resource.
+  // One function for each resource.
   io::Task<HttpReply> answer_health(const http::Message& request);
   io::Task<HttpReply> answer_heartbeat(const http::Message& request);
   io::Task<HttpReply> answer_submission(const http::Message& request);
