--- a/src/wire/cloud_protocol.cpp
+++ b/src/wire/cloud_protocol.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr char kPageSize[] = "500";
+constexpr char kPageSize[] = "500";  ///< machines on a page of a list
 
 const EnumNames<CloudPhase> kCloudPhases = {
     {"starting", CloudPhase::booting}, {"running", CloudPhase::running}, {"failed", CloudPhase::failed}};
@@ -62,7 +62,7 @@
   return machine;
 }
 
-// One per kind of request: reads the body of a response with status 200.
+// One overload for each kind of request. Each reads the body of a response with status 200.
 
 CloudResponse read_result(const ListMachineTypes&, std::string_view body) {
   const json value = parse_json(body);
@@ -79,7 +79,7 @@
   return response;
 }
 
-/// Its status is the whole response; there may be no body.
+/// Ignores the body, which may be missing: the status alone shows the success.
 CloudResponse read_result(const DeleteMachines&, std::string_view) { return {}; }
 
 CloudResponse read_result(const ListMachines&, std::string_view body) {
@@ -98,6 +98,7 @@
   return response;
 }
 
+/// Reads a response with status 503, whose body distinguishes a lack of capacity from other refusals.
 CloudResponse read_unavailable(std::string_view body) {
   const json value = parse_json(body);
   const json* error = value.is_object() ? ObjectReader(value).find(kError) : nullptr;
--- a/src/wire/cloud_protocol.h
+++ b/src/wire/cloud_protocol.h
@@ -1,4 +1,4 @@
-// The published protocol of the cloud: requests and their responses.
+// The protocol of the cloud: encodes requests and decodes responses.
 #pragma once
 
 #include <string_view>
@@ -8,9 +8,11 @@
 
 namespace bendtide::wire {
 
+/// Encodes a request.
 HttpRequest request_of(const CloudRequest& request);
 
-/// Reads the response to `request`. One that can't be read counts as none: its outcome is unknown.
+/// Decodes the response to `request`. A malformed response is treated like a missing one: its outcome is
+/// `unknown`.
 [[nodiscard]] CloudResponse parse_cloud_response(const CloudRequest& request, int status,
                                                  std::string_view body);
 
