--- a/src/wire/store_protocol.cpp
+++ b/src/wire/store_protocol.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr char kPageSize[] = "1000";
+constexpr char kPageSize[] = "1000";  ///< entries on a page of a list
 
 HttpRequest to_http(const GetKey& request) {
   return {"GET", std::string(kKeysPath) + "/" + escape(request.key), ""};
@@ -56,7 +56,7 @@
   return entry;
 }
 
-// One per kind of request: reads the body of a response with status 200.
+// One overload for each kind of request. Each reads the body of a response with status 200.
 
 StoreResponse read_result(const GetKey&, const ObjectReader& reader) {
   StoreResponse response;
@@ -110,7 +110,8 @@
   return response;
 }
 
-/// Of the requests that are invalid, we send but one kind: a put under a lease that ended.
+/// Reads a response with status 400. The only invalid request that a controller sends is a put that refers to
+/// an ended lease; the outcome is `absent` if the error text mentions a lease.
 StoreResponse read_invalid(const ObjectReader& reader) {
   const json* error = reader.find(kError);
   const bool lease_ended = error != nullptr && error->is_string() &&
@@ -120,8 +121,8 @@
   return response;
 }
 
-/// The request was not executed. A late copy of it may be yet: for a transaction, that is as good as no
-/// response.
+/// Returns the response for a request that the store refused to execute. The outcome of a transaction is
+/// `unknown` all the same, because a delayed copy of the request may still be executed.
 StoreResponse refused(const StoreRequest& request) {
   StoreResponse response;
   if (!std::holds_alternative<Transaction>(request)) response.outcome = StoreResponse::Outcome::refused;
--- a/src/wire/store_protocol.h
+++ b/src/wire/store_protocol.h
@@ -1,4 +1,4 @@
-// The published protocol of the key-value store: requests and their responses.
+// The protocol of the key-value store: encodes requests and decodes responses.
 #pragma once
 
 #include <string_view>
@@ -8,9 +8,11 @@
 
 namespace bendtide::wire {
 
+/// Encodes a request.
 HttpRequest request_of(const StoreRequest& request);
 
-/// Reads the response to `request`. One that can't be read counts as none: its outcome is unknown.
+/// Decodes the response to `request`. A malformed response is treated like a missing one: its outcome is
+/// `unknown`.
 [[nodiscard]] StoreResponse parse_store_response(const StoreRequest& request, int status,
                                                  std::string_view body);
 
