--- a/src/wire/user_protocol.cpp
+++ b/src/wire/user_protocol.cpp
@@ -9,9 +9,9 @@
 
 namespace {
 
-constexpr std::uint64_t kMostTasks = 100'000;
-constexpr std::size_t kMostTypes = 256;
-constexpr std::size_t kLongestJobId = 64;
+constexpr std::uint64_t kMaxTasks = 100'000;
+constexpr std::size_t kMaxMachineTypes = 256;
+constexpr std::size_t kMaxJobIdBytes = 64;
 
 const EnumNames<Shape> kShapes = {{"sweep", Shape::array}, {"daemon", Shape::service}};
 const EnumNames<Priority> kPriorities = {{"prod", Priority::production},
@@ -31,7 +31,7 @@
 
 std::uint32_t read_task_count(const ObjectReader& reader) {
   const std::uint64_t tasks = reader.count(kTasks);
-  if (tasks < 1 || tasks > kMostTasks) throw FieldError{kTasks, "out of range"};
+  if (tasks < 1 || tasks > kMaxTasks) throw FieldError{kTasks, "out of range"};
   return static_cast<std::uint32_t>(tasks);
 }
 
@@ -41,11 +41,11 @@
   return each;
 }
 
-/// The machine types that the job may run on; none: all.
+/// Returns the machine types that the job may run on; empty if the field is missing, which allows all types.
 std::vector<std::string> read_machine_types(const ObjectReader& reader) {
   const json* names = reader.find(kMachineTypes);
   if (names == nullptr) return {};
-  if (!names->is_array() || names->size() > kMostTypes)
+  if (!names->is_array() || names->size() > kMaxMachineTypes)
     throw FieldError{kMachineTypes, "must be a list of names"};
   std::vector<std::string> types;
   for (const json& name : *names) {
@@ -86,7 +86,7 @@
 
 bool is_job_id(std::string_view id) {
   const std::string_view prefix = kJobIdPrefix;
-  if (!id.starts_with(prefix) || id.size() <= prefix.size() || id.size() > kLongestJobId) return false;
+  if (!id.starts_with(prefix) || id.size() <= prefix.size() || id.size() > kMaxJobIdBytes) return false;
   return id.find_first_not_of("0123456789", prefix.size()) == std::string_view::npos;
 }
 
--- a/src/wire/user_protocol.h
+++ b/src/wire/user_protocol.h
@@ -1,4 +1,4 @@
-// Users' side of the published protocol: submissions, and the answers to users.
+// The protocol between users and controllers: decodes job submissions and encodes replies.
 #pragma once
 
 #include <string>
@@ -9,16 +9,18 @@
 
 namespace bendtide::wire {
 
-/// Whether `id` has the form of a job's id: the protocol's prefix and digits, 64 bytes at most.
+/// Whether `id` is a well-formed job id: kJobIdPrefix followed by digits, at most 64 bytes in all.
 [[nodiscard]] bool is_job_id(std::string_view id);
 
-/// Reads a submission.
+/// Decodes the body of a job submission.
 [[nodiscard]] Parsed<JobSpec> parse_job_spec(std::string_view body);
-/// The id in a submission that may lack anything else; empty if there is none.
+/// Returns the job id from a submission whose other fields may be missing or invalid. Returns an empty string
+/// if there is no valid id.
 [[nodiscard]] std::string find_job_id(std::string_view body);
 
+/// Encodes a reply.
 std::string body_of(const UserReply& reply);
-/// The submission that a user sends, for the stand-ins of tests.
+/// Encodes the submission that a user sends. Used by simulated users in tests.
 std::string body_of(const JobSpec& spec);
 
 }  // namespace bendtide::wire
