--- a/src/wire/worker_protocol.cpp
+++ b/src/wire/worker_protocol.cpp
@@ -23,7 +23,7 @@
 const EnumNames<Command::Kind> kVerbs = {
     {"run", Command::Kind::start}, {"kill", Command::Kind::stop}, {"clear", Command::Kind::forget}};
 
-/// A task is named by its job's id, a slash and its index in the job.
+/// Returns the name of a task: the id of its job, a slash, and its index in the job.
 std::string task_name(const TaskId& task) { return task.job + "/" + std::to_string(task.index); }
 
 TaskId read_task_id(const ObjectReader& reader, const char* field) {
--- a/src/wire/worker_protocol.h
+++ b/src/wire/worker_protocol.h
@@ -1,4 +1,4 @@
-// Workers' side of the published protocol: heartbeats, commands and their answers.
+// The protocol between workers and controllers: heartbeats, commands and their responses.
 #pragma once
 
 #include <string>
@@ -10,15 +10,18 @@
 
 namespace bendtide::wire {
 
+/// Decodes a heartbeat.
 [[nodiscard]] Parsed<Heartbeat> parse_heartbeat(std::string_view body);
+/// Encodes the reply to a heartbeat.
 std::string body_of(const HeartbeatReply& reply);
 
+/// Encodes a request to execute commands.
 HttpRequest request_of(const CommandRequest& request);
-/// Reads a worker's answer to commands, which is a heartbeat. Without one that can be read, commands never
-/// count as executed.
+/// Decodes the response of a worker to commands, which contains a heartbeat. Without a valid heartbeat the
+/// outcome is never `executed`.
 [[nodiscard]] CommandResponse parse_command_response(int status, std::string_view body);
 
-/// The heartbeat that a worker sends, for the stand-ins of tests.
+/// Encodes the heartbeat that a worker sends. Used by simulated workers in tests.
 std::string body_of(const Heartbeat& heartbeat);
 
 }  // namespace bendtide::wire
