--- a/src/wire/object_reader.cpp
+++ b/src/wire/object_reader.cpp
@@ -10,9 +10,10 @@
 
 namespace {
 
-constexpr double kMostAmount = 1e9;  ///< keeps sums of thousandths far from overflow
+constexpr double kMaxAmount = 1e9;  ///< keeps sums of thousandths far below integer overflow
 
-/// Amounts this close to a whole number of thousandths count as that: decimals have no exact binary form.
+/// Amounts that differ from a whole number of thousandths by less than this (in thousandths) are rounded to
+/// it, because most decimal fractions have no exact binary representation.
 constexpr double kRoundingError = 1e-6;
 
 std::int64_t to_thousandths(double amount, Rounding rounding) {
@@ -64,9 +65,9 @@
   return name(field);
 }
 
-bool ObjectReader::flag_or(const char* field, bool otherwise) const {
+bool ObjectReader::flag_or(const char* field, bool fallback) const {
   const json* value = find(field);
-  if (value == nullptr) return otherwise;
+  if (value == nullptr) return fallback;
   if (!value->is_boolean()) throw FieldError{field, "must be true or false"};
   return value->get<bool>();
 }
@@ -75,12 +76,12 @@
   const json& value = require(field);
   if (!value.is_number()) throw FieldError{field, "must be a number"};
   const double number = value.get<double>();
-  if (!std::isfinite(number) || number < 0 || number > kMostAmount) throw FieldError{field, "out of range"};
+  if (!std::isfinite(number) || number < 0 || number > kMaxAmount) throw FieldError{field, "out of range"};
   return number;
 }
 
-double ObjectReader::amount_or(const char* field, double otherwise) const {
-  return has(field) ? amount(field) : otherwise;
+double ObjectReader::amount_or(const char* field, double fallback) const {
+  return has(field) ? amount(field) : fallback;
 }
 
 std::uint64_t ObjectReader::count(const char* field) const {
--- a/src/wire/object_reader.h
+++ b/src/wire/object_reader.h
@@ -1,4 +1,4 @@
-// Reading of the fields of JSON objects, with a typed error that names the field.
+// Typed access to the fields of JSON objects, with errors that name the field.
 #pragma once
 
 #include <initializer_list>
@@ -14,23 +14,23 @@
 
 namespace bendtide::wire {
 
-/// What is wrong with a JSON text. Thrown while it is read, and part of `Parsed` afterwards.
+/// An error in a JSON text. Thrown by ObjectReader, and returned to callers of the protocols in `Parsed`.
 struct FieldError {
-  std::string field;  ///< empty: the text as a whole
+  std::string field;  ///< empty if the error concerns the whole text
   std::string problem;
 
-  /// The one line that the sender of the text receives.
+  /// Returns the one-line error message for the sender of the text.
   std::string text() const { return field.empty() ? problem : field + ": " + problem; }
 };
 
-/// A value, or what is wrong with the text that should hold it.
+/// A parsed value, or the error that prevented parsing it.
 template <class T>
 using Parsed = std::variant<T, FieldError>;
 
-/// The longest name, in bytes, that any field may hold.
+/// The maximum length of a name in any field.
 inline constexpr std::size_t kMaxNameBytes = 200;
 
-/// The name that the protocol gives to a value of an enumeration.
+/// Maps an enumerator to its name in the protocol.
 template <class E>
 struct EnumName {
   const char* name;
@@ -39,7 +39,7 @@
 template <class E>
 using EnumNames = std::initializer_list<EnumName<E>>;
 
-/// The name of `value`; empty if the table has none.
+/// Returns the protocol name of `value`; empty if the table has none.
 template <class E>
 const char* name_of(E value, EnumNames<E> names) {
   for (const EnumName<E>& entry : names)
@@ -47,45 +47,50 @@
   return "";
 }
 
-/// Which way an amount that is no whole number of thousandths is rounded.
+/// How to round an amount that is not a whole number of thousandths.
 enum class Rounding { up, down };
 
-/// Parses a JSON text; throws FieldError. Its depth is bounded by the size of a body.
+/// Parses a JSON text; throws FieldError if it is malformed. The nesting depth needs no limit of its own,
+/// because the size of a message body bounds it.
 nlohmann::json parse_json(std::string_view text);
 
-/// A view of one JSON object, which has to outlive it. Accessors throw FieldError if the field does not fit.
-/// A field that may be null may be omitted instead.
+/// A view of a JSON object; the object must outlive it. Accessors throw FieldError if a required field is
+/// missing or a field is invalid. Except in require_nullable(), null means the same as a missing field.
 class ObjectReader {
  public:
   /// Throws FieldError if `value` is not an object.
   explicit ObjectReader(const nlohmann::json& value);
 
+  /// Whether the field is present and not null.
   bool has(const char* field) const { return find(field) != nullptr; }
-  /// Null if the field is missing or null.
+  /// Returns the field, or a null pointer if it is missing or null.
   const nlohmann::json* find(const char* field) const;
-  /// A field that is neither missing nor null.
+  /// Returns a field that must be present and not null.
   const nlohmann::json& require(const char* field) const;
-  /// A field that is not missing; null is a value of its own.
+  /// Returns a field that must be present but may be null.
   const nlohmann::json& require_nullable(const char* field) const;
 
-  /// A string of 1 to kMaxNameBytes bytes.
+  /// Returns a string of 1 to kMaxNameBytes bytes.
   std::string name(const char* field) const;
   std::optional<std::string> optional_name(const char* field) const;
-  bool flag_or(const char* field, bool otherwise) const;
-  /// A finite number from 0 to 1e9.
+  /// Returns a Boolean; `fallback` if the field is missing.
+  bool flag_or(const char* field, bool fallback) const;
+  /// Returns a finite number from 0 to 1e9.
   double amount(const char* field) const;
-  double amount_or(const char* field, double otherwise) const;
-  /// A whole number from 0 on.
+  double amount_or(const char* field, double fallback) const;
+  /// Returns a non-negative integer.
   std::uint64_t count(const char* field) const;
-  /// An amount of seconds.
+  /// Returns a duration, which the protocol states in seconds.
   Micros duration(const char* field) const;
   std::optional<Micros> optional_duration(const char* field) const;
+  /// Returns an array.
   const nlohmann::json& list(const char* field) const;
-  /// A list of strings, of any length and content.
+  /// Returns an array of strings of any length and content.
   std::vector<std::string> strings(const char* field) const;
-  /// CPUs, GPUs (none if missing) and memory.
+  /// Returns the CPUs, GPUs (0 if missing) and memory.
   Resources resources(Rounding rounding) const;
 
+  /// Returns the enumerator whose protocol name the field holds.
   template <class E>
   E one_of(const char* field, EnumNames<E> names) const {
     const nlohmann::json& value = require(field);
@@ -101,7 +106,7 @@
   const nlohmann::json& object_;
 };
 
-/// Runs a reader that throws FieldError, and returns what it read or the error.
+/// Calls `read` and returns its result, or the FieldError that it threw.
 template <class T, class Read>
 Parsed<T> parse_with(Read&& read) {
   try {
