--- a/src/wire/query.cpp
+++ b/src/wire/query.cpp
@@ -6,11 +6,11 @@
 
 std::string escape(std::string_view text) {
   static constexpr char digits[] = "0123456789ABCDEF";
-  static constexpr std::string_view plain = "-_./~";
+  static constexpr std::string_view unescaped = "-_./~";
   std::string escaped;
   for (const char character : text) {
     const auto byte = static_cast<unsigned char>(character);
-    if (std::isalnum(byte) || plain.find(character) != std::string_view::npos) {
+    if (std::isalnum(byte) || unescaped.find(character) != std::string_view::npos) {
       escaped += character;
     } else {
       escaped += '%';
--- a/src/wire/query.h
+++ b/src/wire/query.h
@@ -1,4 +1,4 @@
-// Escaping of what becomes part of a request's target.
+// Escaping of text in request targets.
 #pragma once
 
 #include <string>
@@ -6,7 +6,7 @@
 
 namespace bendtide::wire {
 
-/// Percent-encodes all but letters, digits, "-", "_", ".", "/" and "~".
+/// Percent-encodes every byte except letters, digits, "-", "_", ".", "/" and "~".
 std::string escape(std::string_view text);
 
 }  // namespace bendtide::wire
