--- a/src/wire/http_request.h
+++ b/src/wire/http_request.h
@@ -1,4 +1,4 @@
-// A request of the published protocol, before HTTP's own framing (http/).
+// The content of an HTTP request; http/ adds the framing.
 #pragma once
 
 #include <string>
@@ -7,8 +7,8 @@
 
 struct HttpRequest {
   std::string method;
-  std::string target;  ///< path and parameters, escaped
-  std::string body;    ///< JSON; empty: none
+  std::string target;  ///< path and query parameters, percent-encoded
+  std::string body;    ///< JSON; empty if the request has no body
 };
 
 }  // namespace bendtide::wire
