--- a/src/wire/names.h
+++ b/src/wire/names.h
@@ -1,15 +1,15 @@
-// The names that the published protocol gives to paths and JSON fields, here and nowhere else.
+// Paths, query parameters and JSON fields of the protocols, all defined here.
 //
-// A constant is called by the usual term for what it stands for; its value is the protocol's word, which is
-// often another one. The values are fixed by the protocol. A comment stands where the two differ so much that
-// the value would mislead.
+// Each constant is named after the usual term for its meaning. Its value is the name that the protocol
+// prescribes, which often differs and must not change. Comments explain the values that would mislead a
+// reader.
 #pragma once
 
 namespace bendtide::wire::names {
 
 // Paths.
 inline constexpr char kJobsPath[] = "/work";
-inline constexpr char kCancelSuffix[] = "/cancel";  ///< behind the path of a job
+inline constexpr char kCancelSuffix[] = "/cancel";  ///< appended to the path of a job
 inline constexpr char kHealthPath[] = "/healthz";
 inline constexpr char kHeartbeatPath[] = "/checkin";
 inline constexpr char kCommandsPath[] = "/orders";
@@ -19,17 +19,17 @@
 inline constexpr char kKeysPath[] = "/keys";
 inline constexpr char kTransactionPath[] = "/multi";
 inline constexpr char kLeasesPath[] = "/leases";
-inline constexpr char kRenewSuffix[] = "/renew";  ///< behind the path of a lease
+inline constexpr char kRenewSuffix[] = "/renew";  ///< appended to the path of a lease
 
-// Fields of jobs, tasks and workers. A name that ends in "S" holds seconds.
+// Fields of jobs, tasks and workers. Fields whose name ends in "S" are in seconds.
 inline constexpr char kJobIdPrefix[] = "run-";
-inline constexpr char kUid[] = "uid";  ///< the id of a job; in the cloud's lists, the name of a machine
+inline constexpr char kUid[] = "uid";  ///< the id of a job; in lists of the cloud, the name of a machine
 inline constexpr char kJobClass[] = "jobclass";
 inline constexpr char kTeam[] = "crew";
 inline constexpr char kShape[] = "shape";
 inline constexpr char kPriority[] = "rank";
-inline constexpr char kTasks[] = "shards";  ///< the protocol's "shard" is a task, and none of our shards
-inline constexpr char kTask[] = "shard";
+inline constexpr char kTasks[] = "shards";  ///< number or list of tasks, not the shards of a controller
+inline constexpr char kTask[] = "shard";    ///< a task, not a shard of a controller
 inline constexpr char kCpus[] = "cpus";
 inline constexpr char kGpus[] = "cards";
 inline constexpr char kMemory[] = "memGb";
@@ -53,19 +53,19 @@
 inline constexpr char kMachine[] = "helm";
 inline constexpr char kMachines[] = "helms";
 inline constexpr char kAddress[] = "address";
-inline constexpr char kIncarnation[] = "watch";          ///< of a worker: another one after each restart
-inline constexpr char kSequenceNumber[] = "tick";        ///< of a heartbeat, within the incarnation
-inline constexpr char kFencingToken[] = "baton";         ///< the highest that the worker has seen
-inline constexpr char kPreemptionNotice[] = "warningS";  ///< time left until a spot machine is taken back
+inline constexpr char kIncarnation[] = "watch";          ///< of a worker; changes with each restart
+inline constexpr char kSequenceNumber[] = "tick";        ///< of a heartbeat; counts within the incarnation
+inline constexpr char kFencingToken[] = "baton";         ///< from a worker: the highest one that it has seen
+inline constexpr char kPreemptionNotice[] = "warningS";  ///< seconds until a spot machine is reclaimed
 inline constexpr char kAttempt[] = "launch";
 inline constexpr char kCause[] = "cause";
 inline constexpr char kCommands[] = "orders";
 inline constexpr char kVerb[] = "verb";
 inline constexpr char kGracePeriod[] = "windDownS";
-inline constexpr char kRedirect[] = "harbor";  ///< the controller that a worker is to send its heartbeats to
+inline constexpr char kRedirect[] = "harbor";  ///< the controller that should receive the heartbeats
 
-// Fields of the cloud.
-inline constexpr char kTypeName[] = "label";  ///< of a machine type in the catalogue
+// Fields of cloud messages.
+inline constexpr char kTypeName[] = "label";  ///< the name of a machine type in the catalog
 inline constexpr char kCacheGb[] = "cacheGb";
 inline constexpr char kFetchRate[] = "fetchGbPerS";
 inline constexpr char kPrice[] = "hourly";
@@ -75,17 +75,17 @@
 inline constexpr char kCount[] = "howMany";
 inline constexpr char kAge[] = "ageS";
 
-// Parameters of lists, of the cloud and of the key-value store: a list comes in pages.
-inline constexpr char kAfter[] = "from";  ///< a page begins behind this name
-inline constexpr char kLimit[] = "most";  ///< of entries on a page
+// Query parameters and fields of paged lists, in the cloud and in the key-value store.
+inline constexpr char kAfter[] = "from";  ///< the page starts after this name
+inline constexpr char kLimit[] = "most";  ///< maximum number of entries on a page
 inline constexpr char kMore[] = "more";   ///< whether another page follows
 
-// Fields of the key-value store.
+// Fields of key-value store messages.
 inline constexpr char kKey[] = "path";
 inline constexpr char kValue[] = "v";
-inline constexpr char kRevision[] = "stamp";       ///< of one key
-inline constexpr char kStoreRevision[] = "epoch";  ///< of the whole store
-inline constexpr char kFailedCompares[] = "failed";
+inline constexpr char kRevision[] = "stamp";         ///< the revision of one key
+inline constexpr char kStoreRevision[] = "epoch";    ///< the revision of the whole store
+inline constexpr char kFailedCompares[] = "failed";  ///< the keys whose compare failed
 inline constexpr char kLease[] = "mooring";
 inline constexpr char kPrefix[] = "under";
 inline constexpr char kEntries[] = "rows";
