--- a/src/io/loop.cpp
+++ b/src/io/loop.cpp
@@ -16,22 +16,23 @@
 
 namespace {
 
-constexpr std::size_t kReadSize = 16 * 1024;
-constexpr std::int64_t kLongestPollMs = 60'000;
-constexpr Micros kAcceptWait = seconds(60);
-constexpr Micros kNoDescriptorPause = millis(100);
+constexpr std::size_t kReadSize = 16 * 1024;  ///< bytes
+constexpr std::int64_t kMaxPollMs = 60'000;
+constexpr Micros kAcceptWait = seconds(60);        ///< accept() is tried again after this time
+constexpr Micros kAcceptRetryDelay = millis(100);  ///< after a failure such as having no free descriptor
 
+/// Parses a numeric IPv4 address with a port, HOST:PORT.
 std::optional<sockaddr_in> parse_address(const std::string& address) {
   const auto colon = address.rfind(':');
   if (colon == std::string::npos) return std::nullopt;
-  sockaddr_in out{};
-  out.sin_family = AF_INET;
+  sockaddr_in parsed{};
+  parsed.sin_family = AF_INET;
   char* end = nullptr;
   const unsigned long port = std::strtoul(address.c_str() + colon + 1, &end, 10);
   if (*end != '\0' || end == address.c_str() + colon + 1 || port > 65535) return std::nullopt;
-  out.sin_port = htons(static_cast<std::uint16_t>(port));
-  if (inet_pton(AF_INET, address.substr(0, colon).c_str(), &out.sin_addr) != 1) return std::nullopt;
-  return out;
+  parsed.sin_port = htons(static_cast<std::uint16_t>(port));
+  if (inet_pton(AF_INET, address.substr(0, colon).c_str(), &parsed.sin_addr) != 1) return std::nullopt;
+  return parsed;
 }
 
 }  // namespace
@@ -39,7 +40,7 @@
 // ---- loop ----------------------------------------------------------------------------------------
 
 Loop::Loop() : epoll_(epoll_create1(EPOLL_CLOEXEC)), scratch_(kReadSize, '\0') {
-  if (epoll_ < 0) throw std::runtime_error("epoll: " + std::string(std::strerror(errno)));
+  if (epoll_ < 0) throw std::runtime_error("epoll_create1: " + std::string(std::strerror(errno)));
 }
 
 Loop::~Loop() { ::close(epoll_); }
@@ -49,56 +50,56 @@
 }
 
 void Loop::spawn(Task<> task) {
-  // The wrapper owns itself from here on: its frame is destroyed when it ends.
-  struct Own {
-    struct promise_type {  // NOLINT(readability-identifier-naming): the language asks for this name
-      Own get_return_object() { return {}; }
+  // The return type of a coroutine that starts at once and destroys its frame when it ends.
+  struct DetachedCoroutine {
+    struct promise_type {  // NOLINT(readability-identifier-naming): required by the standard
+      DetachedCoroutine get_return_object() { return {}; }
       std::suspend_never initial_suspend() noexcept { return {}; }
       std::suspend_never final_suspend() noexcept { return {}; }
       void return_void() {}
       void unhandled_exception() { std::terminate(); }
     };
   };
-  [](Loop& loop, Task<> inner) -> Own {
+  [](Loop& loop, Task<> inner) -> DetachedCoroutine {
     try {
       co_await inner;
-    } catch (const std::exception& e) {
-      if (loop.on_error) loop.on_error(e.what());
+    } catch (const std::exception& error) {
+      if (loop.on_error) loop.on_error(error.what());
     }
   }(*this, std::move(task));
 }
 
-void Loop::arm(Waiter& waiter, std::coroutine_handle<> handle, Micros until) {
+void Loop::arm(Waiter& waiter, std::coroutine_handle<> handle, Micros deadline) {
   waiter.handle_ = handle;
   waiter.timed_out_ = false;
-  waiter.timer_ = timers_.emplace(until, &waiter);
+  waiter.timer_ = timers_.emplace(deadline, &waiter);
 }
 
 void Loop::wake(Waiter& waiter) {
-  if (!waiter.waiting()) return;
+  if (!waiter.is_waiting()) return;
   timers_.erase(waiter.timer_);
   ready_.push_back(std::exchange(waiter.handle_, {}));
 }
 
-Task<> Loop::sleep(Micros span) {
+Task<> Loop::sleep(Micros duration) {
   Waiter waiter;
-  co_await wait(waiter, now() + span);
+  co_await wait(waiter, now() + duration);
 }
 
-void Loop::add(int fd, Watch* watch) const {
+void Loop::add(int fd, Descriptor* descriptor) const {
   epoll_event event{};
   event.events = EPOLLIN | EPOLLOUT | EPOLLRDHUP | EPOLLET;
-  event.data.ptr = watch;
+  event.data.ptr = descriptor;
   if (epoll_ctl(epoll_, EPOLL_CTL_ADD, fd, &event) != 0)
-    throw std::runtime_error("epoll: " + std::string(std::strerror(errno)));
+    throw std::runtime_error("epoll_ctl: " + std::string(std::strerror(errno)));
 }
 
 void Loop::run() {
   while (running_) {
     resume_ready();
-    const Micros turn_began = now();
-    wake_timed_out(turn_began);
-    if (ready_.empty()) poll(turn_began);
+    const Micros turn_started_at = now();
+    wake_expired(turn_started_at);
+    if (ready_.empty()) poll(turn_started_at);
   }
 }
 
@@ -110,7 +111,7 @@
   }
 }
 
-void Loop::wake_timed_out(Micros now) {
+void Loop::wake_expired(Micros now) {
   while (!timers_.empty() && timers_.begin()->first <= now) {
     Waiter& waiter = *timers_.begin()->second;
     waiter.timed_out_ = true;
@@ -122,31 +123,32 @@
   int timeout_ms = -1;
   if (!timers_.empty()) {
     const std::int64_t until_next_ms = (timers_.begin()->first - now).count() / 1000 + 1;
-    timeout_ms = static_cast<int>(std::min(until_next_ms, kLongestPollMs));
+    timeout_ms = static_cast<int>(std::min(until_next_ms, kMaxPollMs));
   }
   std::array<epoll_event, 128> events;
   const int count = epoll_wait(epoll_, events.data(), static_cast<int>(events.size()), timeout_ms);
   for (int i = 0; i < count; ++i) {
     const epoll_event& event = events[static_cast<std::size_t>(i)];
-    dispatch(*static_cast<Watch*>(event.data.ptr), event.events);
+    dispatch(*static_cast<Descriptor*>(event.data.ptr), event.events);
   }
 }
 
-void Loop::dispatch(Watch& watch, std::uint32_t events) {
+void Loop::dispatch(Descriptor& descriptor, std::uint32_t events) {
   if (events & (EPOLLIN | EPOLLRDHUP | EPOLLHUP | EPOLLERR)) {
-    watch.readable = true;
-    wake(watch.reader);
+    descriptor.readable = true;
+    wake(descriptor.reader);
   }
   if (events & (EPOLLOUT | EPOLLHUP | EPOLLERR)) {
-    watch.writable = true;
-    wake(watch.writer);
+    descriptor.writable = true;
+    wake(descriptor.writer);
   }
 }
 
 // ---- socket --------------------------------------------------------------------------------------
 
-Socket::Socket(Loop& loop, int fd) : loop_(&loop), fd_(fd), watch_(std::make_unique<Loop::Watch>()) {
-  loop.add(fd, watch_.get());
+Socket::Socket(Loop& loop, int fd)
+    : loop_(&loop), fd_(fd), descriptor_(std::make_unique<Loop::Descriptor>()) {
+  loop.add(fd, descriptor_.get());
 }
 
 Socket& Socket::operator=(Socket&& other) noexcept {
@@ -154,41 +156,41 @@
   close();
   loop_ = other.loop_;
   fd_ = std::move(other.fd_);
-  watch_ = std::move(other.watch_);
+  descriptor_ = std::move(other.descriptor_);
   return *this;
 }
 
 void Socket::close() {
   if (!open()) return;
   ::close(std::exchange(fd_.value, -1));
-  watch_.reset();
+  descriptor_.reset();
 }
 
-Task<bool> Socket::read(std::string& into, Micros until) {
+Task<bool> Socket::read(std::string& buffer, Micros deadline) {
   for (;;) {
-    if (!watch_->readable && !co_await loop_->wait(watch_->reader, until)) co_return false;
-    if (watch_->stopped) co_return false;
+    if (!descriptor_->readable && !co_await loop_->wait(descriptor_->reader, deadline)) co_return false;
+    if (descriptor_->reads_stopped) co_return false;
     std::string& scratch = loop_->scratch_;
     const ssize_t n = ::recv(fd_.value, scratch.data(), scratch.size(), 0);
     if (n > 0) {
-      into.append(scratch, 0, static_cast<std::size_t>(n));
+      buffer.append(scratch, 0, static_cast<std::size_t>(n));
       co_return true;
     }
     if (n == 0) co_return false;
     if (errno == EINTR) continue;
     if (errno != EAGAIN && errno != EWOULDBLOCK) co_return false;
-    watch_->readable = false;
+    descriptor_->readable = false;
   }
 }
 
-Task<bool> Socket::write(std::string_view bytes, Micros until) {
+Task<bool> Socket::write(std::string_view bytes, Micros deadline) {
   while (!bytes.empty()) {
-    if (!watch_->writable && !co_await loop_->wait(watch_->writer, until)) co_return false;
+    if (!descriptor_->writable && !co_await loop_->wait(descriptor_->writer, deadline)) co_return false;
     const ssize_t n = ::send(fd_.value, bytes.data(), bytes.size(), MSG_NOSIGNAL);
     if (n >= 0) {
       bytes.remove_prefix(static_cast<std::size_t>(n));
     } else if (errno == EAGAIN || errno == EWOULDBLOCK) {
-      watch_->writable = false;
+      descriptor_->writable = false;
     } else if (errno != EINTR) {
       co_return false;
     }
@@ -197,8 +199,8 @@
 }
 
 void Socket::stop_reading() {
-  watch_->stopped = true;
-  loop_->wake(watch_->reader);
+  descriptor_->reads_stopped = true;
+  loop_->wake(descriptor_->reader);
 }
 
 bool Socket::reusable() const {
@@ -210,7 +212,7 @@
 
 Task<Socket> Socket::accept() {
   for (;;) {
-    if (!watch_->readable) co_await loop_->wait(watch_->reader, loop_->now() + kAcceptWait);
+    if (!descriptor_->readable) co_await loop_->wait(descriptor_->reader, loop_->now() + kAcceptWait);
     const int fd = ::accept4(fd_.value, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
     if (fd >= 0) {
       const int on = 1;
@@ -218,26 +220,26 @@
       co_return Socket(*loop_, fd);
     }
     if (errno == EAGAIN || errno == EWOULDBLOCK)
-      watch_->readable = false;
+      descriptor_->readable = false;
     else if (errno != EINTR && errno != ECONNABORTED)
-      co_await loop_->sleep(kNoDescriptorPause);  // until some connections are closed
+      co_await loop_->sleep(kAcceptRetryDelay);  // descriptors become free when connections are closed
   }
 }
 
-Task<Socket> Socket::connect(Loop& loop, const std::string& address, Micros until) {
-  const auto to = parse_address(address);
-  if (!to) co_return Socket();
+Task<Socket> Socket::connect(Loop& loop, const std::string& address, Micros deadline) {
+  const auto parsed = parse_address(address);
+  if (!parsed) co_return Socket();
   const int fd = ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   if (fd < 0) co_return Socket();
   const int on = 1;
   setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
-  const int result = ::connect(fd, reinterpret_cast<const sockaddr*>(&*to), sizeof *to);
-  const int why = errno;
+  const int result = ::connect(fd, reinterpret_cast<const sockaddr*>(&*parsed), sizeof *parsed);
+  const int connect_errno = errno;
   Socket socket(loop, fd);
   if (result == 0) co_return socket;
-  if (why != EINPROGRESS) co_return Socket();
-  socket.watch_->writable = false;
-  if (!co_await loop.wait(socket.watch_->writer, until)) co_return Socket();
+  if (connect_errno != EINPROGRESS) co_return Socket();
+  socket.descriptor_->writable = false;
+  if (!co_await loop.wait(socket.descriptor_->writer, deadline)) co_return Socket();
   int error = 0;
   socklen_t size = sizeof error;
   if (getsockopt(fd, SOL_SOCKET, SO_ERROR, &error, &size) != 0 || error != 0) co_return Socket();
@@ -245,17 +247,17 @@
 }
 
 Socket Socket::listen(Loop& loop, const std::string& address, std::size_t backlog) {
-  auto fail = [&](const char* what) {
-    throw std::runtime_error(address + ": " + what + ": " + std::strerror(errno));
+  auto fail = [&](const char* operation) {
+    throw std::runtime_error(address + ": " + operation + ": " + std::strerror(errno));
   };
-  const auto at = parse_address(address);
-  if (!at) throw std::runtime_error(address + ": not an address");
+  const auto parsed = parse_address(address);
+  if (!parsed) throw std::runtime_error(address + ": must be a numeric IPv4 address and a port, HOST:PORT");
   const int fd = ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   if (fd < 0) fail("socket");
   Socket socket(loop, fd);
   const int on = 1;
   setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
-  if (::bind(fd, reinterpret_cast<const sockaddr*>(&*at), sizeof *at) != 0) fail("bind");
+  if (::bind(fd, reinterpret_cast<const sockaddr*>(&*parsed), sizeof *parsed) != 0) fail("bind");
   if (::listen(fd, static_cast<int>(std::min<std::size_t>(backlog, INT_MAX))) != 0) fail("listen");
   return socket;
 }
