--- a/src/io/task.h
+++ b/src/io/task.h
@@ -1,9 +1,9 @@
-// A lazy coroutine that is awaited once, or spawned on its own (Loop::spawn).
+// A lazy coroutine that is awaited once, or started with Loop::spawn.
 //
-// A task owns its coroutine's frame, and nothing runs before it is awaited. The awaiting coroutine is resumed
-// directly when the task ends, without a turn of the loop, and gets its value or its exception. Tasks can't
-// be cancelled: a coroutine ends by itself, in time because whatever it waits for has a deadline. Parameters
-// that are references have to outlive the task.
+// A task owns the frame of its coroutine, which does not run before the task is awaited. When the coroutine
+// ends, it resumes the awaiting coroutine directly, without going through the loop, and passes on its value
+// or its exception. Tasks cannot be cancelled. They end in bounded time because everything that they wait for
+// has a deadline. Arguments passed by reference must outlive the task.
 #pragma once
 
 #include <coroutine>
@@ -22,8 +22,8 @@
   std::coroutine_handle<> continuation;  ///< the awaiting coroutine
   std::exception_ptr error;
 
-  /// Hands over to the awaiting coroutine. The frame stays until its Task is destroyed.
-  struct Final {
+  /// Resumes the awaiting coroutine. The frame remains until its Task is destroyed.
+  struct FinalAwaiter {
     bool await_ready() noexcept { return false; }
     template <class Promise>
     std::coroutine_handle<> await_suspend(std::coroutine_handle<Promise> ended) noexcept {
@@ -33,7 +33,7 @@
     void await_resume() noexcept {}
   };
   std::suspend_always initial_suspend() noexcept { return {}; }
-  Final final_suspend() noexcept { return {}; }
+  FinalAwaiter final_suspend() noexcept { return {}; }
   void unhandled_exception() { error = std::current_exception(); }
 };
 
@@ -59,7 +59,8 @@
 
 }  // namespace detail
 
-/// A coroutine that yields one T. To be awaited or spawned exactly once; one that is dropped never runs.
+/// A coroutine that returns a T. Must be awaited or spawned exactly once. If the task is destroyed before
+/// that, the coroutine never runs.
 template <class T = void>
 class [[nodiscard]] Task {
  public:
