--- a/src/http/parser.cpp
+++ b/src/http/parser.cpp
@@ -10,11 +10,11 @@
 constexpr std::string_view kLineEnd = "\r\n";
 constexpr std::string_view kHeadEnd = "\r\n\r\n";
 
-char lower(char c) { return c >= 'A' && c <= 'Z' ? static_cast<char>(c - 'A' + 'a') : c; }
+char to_lower(char c) { return c >= 'A' && c <= 'Z' ? static_cast<char>(c - 'A' + 'a') : c; }
 
 bool equals_ignoring_case(std::string_view a, std::string_view b) {
   return std::equal(a.begin(), a.end(), b.begin(), b.end(),
-                    [](char x, char y) { return lower(x) == lower(y); });
+                    [](char x, char y) { return to_lower(x) == to_lower(y); });
 }
 
 std::string_view trim(std::string_view text) {
@@ -23,16 +23,16 @@
   return text;
 }
 
-/// RFC 9110, 5.6.2
+/// Whether `text` is a token as defined by RFC 9110, section 5.6.2.
 bool is_token(std::string_view text) {
-  constexpr std::string_view marks = "!#$%&'*+-.^_`|~";
+  constexpr std::string_view punctuation = "!#$%&'*+-.^_`|~";
   return !text.empty() && std::all_of(text.begin(), text.end(), [&](char c) {
-    return (c >= '0' && c <= '9') || (lower(c) >= 'a' && lower(c) <= 'z') ||
-           marks.find(c) != std::string_view::npos;
+    return (c >= '0' && c <= '9') || (to_lower(c) >= 'a' && to_lower(c) <= 'z') ||
+           punctuation.find(c) != std::string_view::npos;
   });
 }
 
-/// A whole number with nothing around it.
+/// Parses a non-negative integer that makes up the whole text.
 std::optional<std::size_t> parse_number(std::string_view text, int base) {
   std::size_t number = 0;
   if (text.empty()) return std::nullopt;
@@ -43,25 +43,26 @@
 }
 
 ParseResult malformed(int status) {
-  ParseResult parse;
-  parse.state = ParseResult::State::malformed;
-  parse.status = status;
-  return parse;
+  ParseResult result;
+  result.state = ParseResult::State::malformed;
+  result.status = status;
+  return result;
 }
 
-/// What stands before the body.
+/// The start line and the headers of a message, with the framing of its body.
 struct Head {
   Message message;
   std::optional<std::size_t> content_length;
   bool chunked = false;
 };
 
-/// Takes the lines of a head one by one.
-class Lines {
+/// Splits the head of a message into lines.
+class LineReader {
  public:
-  explicit Lines(std::string_view text) : rest_(text) {}
+  explicit LineReader(std::string_view text) : rest_(text) {}
 
   bool at_end() const { return rest_.empty(); }
+  /// Returns the next line, without its line end.
   std::string_view next() {
     const auto end = rest_.find(kLineEnd);
     const std::string_view line = rest_.substr(0, end);
@@ -73,17 +74,19 @@
   std::string_view rest_;
 };
 
+/// Whether `target` is a path that contains no control characters or spaces.
 bool is_target(std::string_view target) {
   return !target.empty() && target.front() == '/' && std::all_of(target.begin(), target.end(), [](char c) {
     return static_cast<unsigned char>(c) > ' ' && c != 127;
   });
 }
 
+/// Parses the head of a message. Use an instance for one message only.
 class HeadParser {
  public:
-  /// Null if malformed.
+  /// Returns no value if the head is malformed.
   std::optional<Head> parse(std::string_view text, Kind kind) {
-    Lines lines(text);
+    LineReader lines(text);
     const std::string_view first = lines.next();
     if (!(kind == Kind::request ? read_request_line(first) : read_status_line(first))) return std::nullopt;
     while (!lines.at_end())
@@ -93,7 +96,7 @@
   }
 
  private:
-  // All of these return false if what they read is malformed.
+  // These functions return false if their input is malformed.
 
   bool read_version(std::string_view version) {
     if (version != "HTTP/1.1" && version != "HTTP/1.0") return false;
@@ -101,7 +104,7 @@
     return true;
   }
 
-  /// METHOD TARGET VERSION
+  /// Reads "METHOD TARGET VERSION".
   bool read_request_line(std::string_view line) {
     const auto first = line.find(' ');
     if (first == std::string_view::npos) return false;
@@ -113,7 +116,7 @@
     return read_version(line.substr(second + 1));
   }
 
-  /// VERSION STATUS REASON
+  /// Reads "VERSION STATUS REASON".
   bool read_status_line(std::string_view line) {
     const auto first = line.find(' ');
     if (first == std::string_view::npos) return false;
@@ -123,7 +126,7 @@
     return read_version(line.substr(0, first));
   }
 
-  /// The headers that tell the length of the body and the life of the connection.
+  /// Evaluates the headers that determine the length of the body and whether the connection stays open.
   bool interpret_header(std::string_view name, std::string_view value) {
     if (name == "content-length") {
       const auto length = parse_number(value, 10);
@@ -143,7 +146,7 @@
     const auto colon = line.find(':');
     if (colon == std::string_view::npos || !is_token(line.substr(0, colon))) return false;
     std::string name(line.substr(0, colon));
-    std::transform(name.begin(), name.end(), name.begin(), lower);
+    std::transform(name.begin(), name.end(), name.begin(), to_lower);
     const std::string_view value = trim(line.substr(colon + 1));
     if (!interpret_header(name, value)) return false;
     head_.message.headers.emplace_back(std::move(name), std::string(value));
@@ -153,7 +156,7 @@
   Head head_;
 };
 
-/// Reads a body, which begins at a position in a text that may end before it.
+/// Reads the body that starts at a position of a text. The text may end before the body does.
 class BodyReader {
  public:
   BodyReader(std::string_view text, std::size_t position, const Limits& limits)
@@ -185,14 +188,14 @@
     return ParseResult::State::complete;
   }
 
-  /// Behind what was read.
+  /// Returns the position after the bytes that were read.
   std::size_t position() const { return position_; }
-  /// What to answer if the body is malformed.
+  /// Returns the status with which to answer a request whose body is malformed.
   int status() const { return status_; }
   std::string take_body() { return std::move(body_); }
 
  private:
-  /// Nobody here reads trailers; they end with an empty line.
+  /// Discards the trailers, which end with an empty line. No caller needs them.
   ParseResult::State skip_trailers() {
     for (;;) {
       const auto end = text_.find(kLineEnd, position_);
@@ -202,10 +205,12 @@
       if (is_last) return ParseResult::State::complete;
     }
   }
+  /// Returns the state when no line end has been found: malformed if the line exceeds the limit on a head.
   ParseResult::State missing_line_end() const {
     return text_.size() - position_ > limits_.head ? ParseResult::State::malformed
                                                    : ParseResult::State::incomplete;
   }
+  /// Marks the body as larger than the limit.
   ParseResult::State too_large() {
     status_ = 413;
     return ParseResult::State::malformed;
@@ -248,12 +253,12 @@
     case ParseResult::State::complete:
       break;
   }
-  ParseResult parse;
-  parse.state = ParseResult::State::complete;
-  parse.consumed = reader.position();
-  parse.message = std::move(head->message);
-  parse.message.body = reader.take_body();
-  return parse;
+  ParseResult result;
+  result.state = ParseResult::State::complete;
+  result.consumed = reader.position();
+  result.message = std::move(head->message);
+  result.message.body = reader.take_body();
+  return result;
 }
 
 }  // namespace bendtide::http
