--- a/src/core/leases/fencing_token_advance.h
+++ b/src/core/leases/fencing_token_advance.h
@@ -1,4 +1,4 @@
-// Higher fencing tokens for the shards that this controller leads.
+// Raises the fencing tokens of the shards that this controller leads.
 #pragma once
 
 #include <functional>
@@ -7,13 +7,14 @@
 
 namespace bendtide {
 
-/// Writes the lease record of a shard anew when its TokenAdvance is due: the revision of the new record is a
-/// fencing token above all that were given out before.
+/// Rewrites the lease record of a shard when the shard's TokenAdvance is due. The revision of the rewritten
+/// record is the new fencing token. It is higher than every token issued for the shard before.
 class FencingTokenAdvance {
  public:
-  /// `on_failed`: the lease records have to be listed anew.
+  /// `on_failed` is called when a write fails. The caller must then list the lease records again.
   FencingTokenAdvance(ControllerState& state, const StoreLease& store_lease, std::function<void()> on_failed);
 
+  /// Starts the writes that are due.
   void tick();
 
  private:
