--- a/src/core/leases/lease_transfer.cpp
+++ b/src/core/leases/lease_transfer.cpp
@@ -4,20 +4,20 @@
 
 namespace {
 
-constexpr Micros kHoldOff = seconds(5);
+constexpr Micros kReacquisitionHoldOff = seconds(5);
 constexpr Micros kProbeInterval = seconds(2);
-constexpr std::size_t kProbedWorkers = 4;  ///< of each shard
+constexpr std::size_t kMaxProbedWorkersPerShard = 4;
 
 }  // namespace
 
 std::string_view to_text(TransferReason reason) {
   switch (reason) {
     case TransferReason::failback:
-      return "its own host asked for it";
+      return "its home host requested it back";
     case TransferReason::store_unresponsive:
-      return "the key-value store does not answer us";
+      return "the key-value store does not respond to this controller";
     case TransferReason::workers_unreachable:
-      return "its workers can't reach us";
+      return "its workers cannot reach this controller";
   }
   return "";
 }
@@ -44,10 +44,10 @@
 
 LeaseTransfer LeaseTransfers::begin(const Shard& shard, TransferReason reason) {
   Transferred& transferred = transferred_[shard.name];
-  transferred = {.until = state_.now() + kHoldOff};
+  transferred = {.hold_off_until = state_.now() + kReacquisitionHoldOff};
   if (reason == TransferReason::workers_unreachable)
     for (const auto& [name, machine] : shard.machines)
-      if (!machine.address.empty() && transferred.workers.size() < kProbedWorkers)
+      if (!machine.address.empty() && transferred.workers.size() < kMaxProbedWorkersPerShard)
         transferred.workers.push_back(machine.address);
   const bool asked_for = reason == TransferReason::failback;
   return {shard.name, shard.fencing_token, asked_for, fleet_.unreachable_machines(shard)};
@@ -59,11 +59,11 @@
   const Transferred& transferred = found->second;
   const ShardRoute& route = state_.routes[shard];
   const bool led_by_peer = route.revision != 0 && route.host != state_.self();
-  // Workers that we knew may never answer, as they are unreachable or gone. By then the peer has dealt with
-  // them.
-  const Micros last_probe = transferred.until + state_.context.settings.worker_lease * 2;
+  // The recorded workers may never answer a probe because they are unreachable or deleted. After `last_probe`
+  // the peer has had two worker leases to handle them, so this controller stops waiting for their answers.
+  const Micros last_probe = transferred.hold_off_until + state_.context.settings.worker_lease * 2;
   const bool awaits_worker = !transferred.workers.empty() && state_.now() < last_probe;
-  if (state_.now() < transferred.until || (led_by_peer && awaits_worker)) return true;
+  if (state_.now() < transferred.hold_off_until || (led_by_peer && awaits_worker)) return true;
   transferred_.erase(found);
   return false;
 }
--- a/src/core/leases/lease_transfer.h
+++ b/src/core/leases/lease_transfer.h
@@ -1,4 +1,4 @@
-// Shards that one controller leaves to another: what both remember of it.
+// The state that both controllers keep about a shard whose leadership is transferred between them.
 #pragma once
 
 #include <map>
@@ -9,44 +9,49 @@
 
 namespace bendtide {
 
-/// Why a leader leaves its shard to a peer.
+/// Why a leader transfers its shard to a peer.
 enum class TransferReason : std::uint8_t {
-  failback,            ///< the shard's own host asked for it
-  store_unresponsive,  ///< the key-value store does not answer us
-  workers_unreachable  ///< its workers can't reach us
+  failback,            ///< the shard's home host requested it back
+  store_unresponsive,  ///< the key-value store does not respond to this controller
+  workers_unreachable  ///< the shard's workers cannot reach this controller
 };
 
+/// Returns the reason as text for the log.
 std::string_view to_text(TransferReason reason);
 
-/// Remembers the shards that were transferred to peers, which are not to be acquired again at once, and those
-/// that were received from peers. All times are on the steady clock.
+/// Records the shards that this controller transferred to peers, which it must not acquire again immediately,
+/// and the shards that it received from peers. All times are on the steady clock.
 class LeaseTransfers {
  public:
   LeaseTransfers(ControllerState& state, Fleet& fleet);
 
-  /// Probes some workers of the shards that were transferred because their workers could not reach us.
+  /// Probes some workers of each shard that was transferred because its workers could not reach this
+  /// controller.
   void tick();
 
-  /// Begins the transfer of a shard that we lead; the message for its next leader. It may be sent only after
-  /// we have stopped to act for the shard.
+  /// Begins the transfer of a shard that this controller leads and returns the message for the next leader.
+  /// The message may be sent only after this controller has stopped acting for the shard.
   [[nodiscard]] LeaseTransfer begin(const Shard& shard, TransferReason reason);
-  /// Whether a shard that was transferred is not to be acquired again yet. Forgets the transfer once it may.
+  /// Returns whether a transferred shard must not be acquired again yet. Removes the record of the transfer
+  /// once the shard may be acquired.
   [[nodiscard]] bool holds_off(const std::string& shard);
 
-  /// A peer left a shard to us, which is about to be acquired.
+  /// Records that a peer has transferred a shard to this controller, which is about to acquire it.
   void on_received(const LeaseTransfer& transfer);
-  /// Whether a peer that could not serve the shard left it to us less than `span` ago.
+  /// Returns whether a peer that could not serve the shard transferred it to this controller less than `span`
+  /// ago.
   bool received_within(const std::string& shard, Micros span) const;
-  /// What the last leader knew of machines that were silent, if `replaced` is the token it had: any leader in
-  /// between would have left a newer lease record. Forgets the transfer.
+  /// Returns what the previous leader knew about its silent machines, and removes the record of the transfer.
+  /// The result is empty unless `replaced` is the fencing token of that leader: a leader in between would
+  /// have written a newer lease record.
   [[nodiscard]] std::vector<UnreachableMachine> take_handover(const std::string& shard,
                                                               FencingToken replaced);
 
  private:
   /// A shard that was transferred to a peer.
   struct Transferred {
-    Micros until{0};                        ///< the peer has that long to acquire it
-    std::vector<std::string> workers = {};  ///< addresses; one has to answer before we ask for the shard back
+    Micros hold_off_until{0};               ///< the time until which the peer may acquire it
+    std::vector<std::string> workers = {};  ///< addresses; one must answer before the shard is requested back
     bool probing = false;
     Micros next_probe{0};
   };
@@ -56,8 +61,8 @@
   ControllerState& state_;
   Fleet& fleet_;
   std::map<std::string, Transferred> transferred_;
-  std::map<std::string, Micros> received_;          ///< when, from peers that could not serve them
-  std::map<std::string, LeaseTransfer> handovers_;  ///< the last one for each shard
+  std::map<std::string, Micros> received_;  ///< when received from a peer that could not serve the shard
+  std::map<std::string, LeaseTransfer> handovers_;  ///< the latest one of each shard
 };
 
 }  // namespace bendtide
