--- a/src/core/leases/peer_health.cpp
+++ b/src/core/leases/peer_health.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-constexpr Micros kMessageInterval = millis(1000);
+constexpr Micros kHealthMessageInterval = millis(1000);
 
 }  // namespace
 
@@ -14,7 +14,7 @@
 
 void PeerHealthMonitor::tick() {
   if (state_.now() < next_message_) return;
-  next_message_ = state_.now() + kMessageInterval;
+  next_message_ = state_.now() + kHealthMessageInterval;
   for (const Peer& peer : state_.context.settings.peers) {
     const std::uint32_t redirected = std::exchange(state_.redirected_heartbeats[peer.host], 0);
     state_.context.act(PeerSend{peer.host, PeerHealth{state_.store.responsive(), redirected}});
@@ -32,18 +32,18 @@
   const Micros silence = state_.context.settings.longest_heartbeat_pause();
   const Micros since = state_.now() - silence;
   if (shard.acquired_at + silence > since) return false;
-  // A shard whose machines are all unreachable, or never came up, would be transferred without end: its new
-  // leader needs time to find out.
+  // A new leader needs time to detect that the machines are unreachable or never booted. Without this check,
+  // a shard whose machines are all in that state would be transferred back and forth indefinitely.
   if (transfers_.received_within(shard.name, state_.context.settings.worker_lease * 2)) return false;
-  std::size_t up = 0;
+  std::size_t expected_workers = 0;
   for (const auto& [name, machine] : shard.machines) {
     if (machine.lifecycle.decommissioned || (!machine.liveness.status_received && fleet_.booting(machine)))
       continue;
-    // The heartbeats of a machine that takes no commands arrive, too: no peer would do better with it.
+    // Also covers a machine that sends heartbeats but receives no commands: a transfer would not help it.
     if (machine.liveness.last_heartbeat_at > since) return false;
-    ++up;
+    ++expected_workers;
   }
-  return up > 1;
+  return expected_workers > 1;
 }
 
 std::optional<TransferTarget> PeerHealthMonitor::healthier_peer(const Shard& shard) const {
@@ -52,9 +52,9 @@
   for (const auto& [host, peer] : state_.peers) {
     if (!state_.reachable(host) || !peer.store_responsive) continue;
     if (store_failing) return TransferTarget{host, TransferReason::store_unresponsive};
-    const bool hears_our_workers =
+    const bool receives_redirected_heartbeats =
         peer.our_workers_at >= Micros{0} && state_.now() - peer.our_workers_at < ControllerState::kPeerSilent;
-    if (hears_our_workers) return TransferTarget{host, TransferReason::workers_unreachable};
+    if (receives_redirected_heartbeats) return TransferTarget{host, TransferReason::workers_unreachable};
   }
   return std::nullopt;
 }
--- a/src/core/leases/peer_health.h
+++ b/src/core/leases/peer_health.h
@@ -1,4 +1,4 @@
-// What controllers tell one another of their health, and which of them could serve a shard better.
+// Exchanges health messages between controllers and selects a healthier controller for a shard.
 #pragma once
 
 #include <optional>
@@ -8,26 +8,30 @@
 
 namespace bendtide {
 
-/// A healthier controller, and why a shard should be transferred to it.
+/// A healthier controller and the reason to transfer a shard to it.
 struct TransferTarget {
   std::string host;
   TransferReason reason;
 };
 
-/// Exchanges PeerHealth messages with the other controllers and finds shards that one of them could serve
-/// while this one can't.
+/// Exchanges PeerHealth messages with the other controllers and finds the shards that a peer can serve while
+/// this controller cannot.
 class PeerHealthMonitor {
  public:
   PeerHealthMonitor(ControllerState& state, const Fleet& fleet, const LeaseTransfers& transfers);
 
-  /// Sends our health to every peer when that is due.
+  /// Sends the health of this controller to every peer when the next message is due.
   void tick();
+  /// Records a health message from the controller on `host`.
   void on_peer_health(const std::string& host, const PeerHealth& health);
-  /// None if this controller can serve the shard, or no peer is known to do better.
+  /// Returns the peer that the shard should be transferred to. None if this controller can serve the shard or
+  /// no peer is known to be healthier.
   std::optional<TransferTarget> healthier_peer(const Shard& shard) const;
 
  private:
-  /// Whether all machines of the shard have been silent for longer than any pause between heartbeats.
+  /// Returns whether no machine of the shard has sent a heartbeat within the longest regular pause between
+  /// heartbeats. False if fewer than two machines are expected to send any, or if the shard was acquired or
+  /// received from a peer too recently to tell.
   bool all_workers_silent(const Shard& shard) const;
 
   ControllerState& state_;
