--- a/src/core/leases/shard_acquisition.cpp
+++ b/src/core/leases/shard_acquisition.cpp
@@ -31,8 +31,8 @@
 }
 
 void ShardAcquisition::read_record(const Acquisition& acquisition) {
-  // A write that is applied after this read appears in a later list of the lease records, as a record of this
-  // process for a shard that it does not lead, and the shard is then acquired again.
+  // If the write is applied only after this read, a later list of the lease records shows a record of this
+  // process for a shard that it does not lead. The shard is then acquired again.
   state_.store.get(records::lease_key(acquisition.shard), [this, acquisition](const StoreResponse& response) {
     on_record_read(acquisition, response);
   });
@@ -51,7 +51,7 @@
   if (store_lease_.is_granted() && acquisition.store_lease == store_lease_.id()) return true;
   state_.context.info(LogMessage("shard not acquired")
                           .shard(acquisition.shard)
-                          .why("the store lease of its lease record is no longer ours"));
+                          .why("the store lease of its lease record has ended"));
   hooks_.failed();
   return false;
 }
--- a/src/core/leases/shard_acquisition.h
+++ b/src/core/leases/shard_acquisition.h
@@ -1,4 +1,4 @@
-// How a controller becomes the leader of a shard: the conditional write of its lease record.
+// Makes this controller the leader of a shard by a conditional write of the shard's lease record.
 #pragma once
 
 #include <functional>
@@ -11,40 +11,41 @@
 /// One attempt to become the leader of a shard.
 struct Acquisition {
   std::string shard;
-  Revision expected_revision = 0;  ///< of the lease record to be replaced; 0: there is none
-  StoreLeaseId store_lease = 0;    ///< which the new record is attached to
+  Revision expected_revision = 0;  ///< of the lease record to replace; 0 if there is none
+  StoreLeaseId store_lease = 0;    ///< the lease that the new record is attached to
 };
 
-/// Carries out acquisitions, one at a time for each shard.
+/// Performs acquisitions, one at a time for each shard.
 class ShardAcquisition {
  public:
   struct Hooks {
-    /// The lease record is ours, at the revision of `token`. `replaced`: the token of the record that was
-    /// replaced; 0 if that is not known.
+    /// Called when this process has written the lease record, whose revision is `token`. `replaced` is the
+    /// fencing token of the previous record, or 0 if it is not known.
     std::function<void(const std::string& shard, FencingToken token, FencingToken replaced)> acquired;
-    /// The lease records have to be listed anew.
+    /// Called when an acquisition has failed. The lease records must then be listed again.
     std::function<void()> failed;
   };
 
   ShardAcquisition(ControllerState& state, StoreLease& store_lease, Hooks hooks);
 
-  /// Writes the lease record under the present store lease, provided that the stored record still has
+  /// Writes the lease record under the current store lease if the stored record still has
   /// `expected_revision`.
   void start(const std::string& shard, Revision expected_revision);
   bool in_flight(const std::string& shard) const { return in_flight_.contains(shard); }
 
  private:
   void on_written(const Acquisition& acquisition, const StoreResponse& response);
-  /// Reads the lease record after a write without response.
+  /// Reads the lease record after a write whose outcome is unknown.
   void read_record(const Acquisition& acquisition);
   void on_record_read(const Acquisition& acquisition, const StoreResponse& response);
-  /// Ends an acquisition. False if its store lease is no longer ours: the record has gone, or goes, with it.
+  /// Ends an acquisition. Returns false if its store lease has ended: the key-value store has removed the
+  /// lease record, or will remove it, together with that lease.
   [[nodiscard]] bool finish(const Acquisition& acquisition);
 
   ControllerState& state_;
   StoreLease& store_lease_;
   Hooks hooks_;
-  std::set<std::string> in_flight_;  ///< shards
+  std::set<std::string> in_flight_;  ///< shards that are being acquired
 };
 
 }  // namespace bendtide
