--- a/src/core/leases/store_lease.h
+++ b/src/core/leases/store_lease.h
@@ -1,4 +1,4 @@
-// The lease of this controller at the key-value store.
+// The lease that this controller holds in the key-value store.
 #pragma once
 
 #include <functional>
@@ -7,24 +7,25 @@
 
 namespace bendtide {
 
-/// Requests a lease from the key-value store and renews it. All lease records of shards are attached to it:
-/// when it ends, this controller leads no shard. Keeps ControllerState::lease_valid_until, which counts from
-/// the moment at which a request was sent.
+/// Requests a lease from the key-value store and renews it. The lease records of all shards that this
+/// controller leads are attached to this lease: when it ends, this controller leads no shard. Maintains
+/// ControllerState::lease_valid_until, which is computed from the time at which a request was sent.
 class StoreLease {
  public:
   struct Hooks {
-    std::function<void()> granted;
-    std::function<void()> ended;
+    std::function<void()> granted;  ///< a new lease has been granted
+    std::function<void()> ended;    ///< the lease has ended
   };
 
   StoreLease(ControllerState& state, Hooks hooks);
 
-  /// Sends the next request when it is due. One request is in flight at a time.
+  /// Sends the next request when it is due. At most one request is in flight at a time.
   void tick();
-  /// 0 if there is none.
+  /// The ID of the lease; 0 if there is none.
   StoreLeaseId id() const { return id_; }
   bool is_granted() const { return id_ != 0; }
-  /// The key-value store no longer knows the lease. Calls Hooks::ended; the next tick requests another lease.
+  /// Records that the lease no longer exists in the key-value store. Calls Hooks::ended. The next tick
+  /// requests a new lease.
   void end();
 
  private:
