--- a/src/core/leases/shard_leases.cpp
+++ b/src/core/leases/shard_leases.cpp
@@ -7,11 +7,11 @@
 namespace {
 
 constexpr Micros kListingInterval = millis(1000);
-constexpr Micros kListingSoon = millis(300);
-constexpr Micros kListingAfterFailure = millis(200);
-constexpr Micros kAcquisitionStagger = millis(700);  ///< between the hosts that may acquire a shard
+constexpr Micros kUrgentListingInterval = millis(300);
+constexpr Micros kListingDelayAfterFailure = millis(200);
+constexpr Micros kAcquisitionStagger = millis(700);  ///< between hosts that may acquire the same shard
 
-/// The record that an entry holds; none without an entry, or if it can't be read.
+/// Returns the lease record in an entry; none if there is no entry or it cannot be parsed.
 std::optional<records::LeaseRecord> lease_record_in(const KeyValue* entry) {
   if (entry == nullptr) return std::nullopt;
   return records::lease_record(entry->value);
@@ -28,8 +28,8 @@
                    {[this](const std::string& shard, FencingToken token, FencingToken replaced) {
                       begin_term(shard, token, replaced);
                     },
-                    [this] { list_records_after_failure(); }}),
-      token_advance_(state, store_lease_, [this] { list_records_after_failure(); }),
+                    [this] { schedule_listing_after_failure(); }}),
+      token_advance_(state, store_lease_, [this] { schedule_listing_after_failure(); }),
       transfers_(state, fleet),
       peer_health_(state, fleet, transfers_) {
   state_.routes[state_.self()];
@@ -45,7 +45,7 @@
   token_advance_.tick();
   for (auto& [name, shard] : state_.shards) {
     if (!shard.ready() || shard.token_advance.in_flight()) continue;
-    // One shard a tick: the transfer removes it from the map.
+    // At most one shard per tick: transfer() removes it from the map, which invalidates the iterator.
     if (const auto target = peer_health_.healthier_peer(shard))
       return transfer(shard, target->host, target->reason);
   }
@@ -56,21 +56,23 @@
 void ShardLeases::list_records() {
   if (listing_) return;
   listing_ = true;
-  // A silent leader may have stopped: its shard is to be acquired as soon as its record is gone.
-  const bool all_heard = std::all_of(state_.routes.begin(), state_.routes.end(), [&](const auto& route) {
-    return state_.reachable(state_.leader_of(route.first));
-  });
-  next_listing_ = state_.now() + (all_heard ? kListingInterval : kListingSoon);
+  // A silent leader may have stopped. Its shard should be acquired as soon as its lease record is removed.
+  const bool all_leaders_reachable =
+      std::all_of(state_.routes.begin(), state_.routes.end(),
+                  [&](const auto& route) { return state_.reachable(state_.leader_of(route.first)); });
+  next_listing_ = state_.now() + (all_leaders_reachable ? kListingInterval : kUrgentListingInterval);
   state_.store.list(records::kLeasePrefix, [this](const StoreResponse& response) {
     listing_ = false;
     if (response.ok())
       on_records_listed(response);
     else
-      next_listing_ = state_.now() + kListingSoon;
+      next_listing_ = state_.now() + kUrgentListingInterval;
   });
 }
 
-void ShardLeases::list_records_after_failure() { next_listing_ = state_.now() + kListingAfterFailure; }
+void ShardLeases::schedule_listing_after_failure() {
+  next_listing_ = state_.now() + kListingDelayAfterFailure;
+}
 
 void ShardLeases::on_records_listed(const StoreResponse& response) {
   std::map<std::string, const KeyValue*> entries;
@@ -82,7 +84,7 @@
     const KeyValue* entry = found == entries.end() ? nullptr : found->second;
     update_route(route, entry);
     const auto held = state_.shards.find(shard);
-    // A list that is older than our lease record says nothing of it.
+    // A list that is older than the lease record written by this process does not show it.
     if (held != state_.shards.end() && held->second.fencing_token > fencing_token_of(response.revision))
       continue;
     check_leadership(shard, entry);
@@ -109,8 +111,9 @@
   if (shard.token_advance.in_flight()) return;
   const std::optional<records::LeaseRecord> record = lease_record_in(entry);
   if (!record || !is_written_by_this_process(state_, *record))
-    return lose_shard(name, "its lease record is not ours");
-  // A late write of ours may have been carried out: a record of this process is ours, whatever its revision.
+    return lose_shard(name, "its lease record was not written by this process");
+  // A write of this process whose response was lost may have been applied late. A record of this process is
+  // therefore valid at any revision.
   shard.fencing_token = std::max(shard.fencing_token, fencing_token_of(entry->revision));
 }
 
@@ -124,16 +127,16 @@
     if (shard != state_.self() && state_.now() - route.absent_since < acquisition_delay(shard, route)) return;
     acquisition_.start(shard, 0);
   } else if (route.host == state_.self()) {
-    // It was led by an earlier process of this host, which has ended: one process runs here at a time.
+    // An earlier process on this host led the shard. It has ended, as each host runs one process at a time.
     acquisition_.start(shard, route.revision);
   } else if (shard == state_.self()) {
     state_.context.act(PeerSend{route.host, FailbackRequest{shard}});
-    next_listing_ = std::min(next_listing_, state_.now() + kListingSoon);
+    next_listing_ = std::min(next_listing_, state_.now() + kUrgentListingInterval);
   }
 }
 
 Micros ShardLeases::acquisition_delay(const std::string& shard, const ShardRoute& route) const {
-  // Its own host comes first, then the others in the order of a ring that starts behind it.
+  // The shard's home host comes first. The others follow in ring order, starting after the home host.
   const auto position_of = [&](const std::string& host) {
     return std::distance(state_.routes.begin(), state_.routes.find(host));
   };
@@ -165,15 +168,15 @@
 void ShardLeases::fail_back(const std::string& name) {
   Shard* shard = state_.held_shard(name);
   if (shard == nullptr || name == state_.self() || shard->token_advance.in_flight()) return;
-  // If the message is lost, the next list shows a record of this process, which then acquires the shard once
-  // more, until its own host asks again.
+  // If the message is lost, the next list shows a record of this process. This process then acquires the
+  // shard again and leads it until the home host repeats its request.
   transfer(*shard, name, TransferReason::failback);
 }
 
 void ShardLeases::transfer(Shard& shard, const std::string& host, TransferReason reason) {
   const LeaseTransfer message = transfers_.begin(shard, reason);
-  state_.routes[message.shard].host = host;  // for the workers; the next list corrects it
-  // The peer may acquire the shard only once we do nothing for it any more.
+  state_.routes[message.shard].host = host;  // redirects workers to the peer; the next list corrects it
+  // The peer may acquire the shard only after this controller has stopped acting for it.
   lose_shard(message.shard, to_text(reason));
   state_.context.act(PeerSend{host, message});
 }
@@ -190,7 +193,7 @@
 void ShardLeases::lose_all_shards() {
   while (!state_.shards.empty()) {
     const std::string name = state_.shards.begin()->first;
-    lose_shard(name, "our store lease ended");
+    lose_shard(name, "the store lease of this controller ended");
   }
 }
 
--- a/src/core/leases/shard_leases.h
+++ b/src/core/leases/shard_leases.h
@@ -1,4 +1,4 @@
-// Which shards this controller leads.
+// Acquires, keeps and transfers the leadership of shards.
 #pragma once
 
 #include "core/leases/fencing_token_advance.h"
@@ -9,38 +9,42 @@
 
 namespace bendtide {
 
-/// Lists the lease records of all shards, keeps the routes to their leaders, acquires the shards that this
-/// controller should lead, and gives up those that it lost or that a peer can serve better.
+/// Lists the lease records of all shards and keeps the routes to their leaders. Acquires the shards that this
+/// controller should lead. Gives up the shards that it has lost or that a peer can serve better.
 class ShardLeases {
  public:
   using Acquired = std::function<void(Shard&)>;
   using Lost = std::function<void(const std::string& shard)>;
 
-  /// `on_acquired` gets each new shard, which has to be loaded yet; `on_lost` is called after a shard was
-  /// removed from the state.
+  /// `on_acquired` receives each acquired shard, whose records are not loaded yet. `on_lost` is called after
+  /// a shard has been removed from the state.
   ShardLeases(ControllerState& state, Fleet& fleet, Acquired on_acquired, Lost on_lost);
 
+  /// Starts the requests, messages and transfers that are due.
   void tick();
-  /// A peer asks for its own shard back.
+  /// Transfers a shard back to its home host, which requested it.
   void fail_back(const std::string& shard);
   void on_peer_health(const std::string& host, const PeerHealth& health) {
     peer_health_.on_peer_health(host, health);
   }
-  /// A peer has given up a shard in our favour.
+  /// Acquires a shard that a peer has transferred to this controller.
   void on_lease_transfer(const LeaseTransfer& transfer);
-  /// A write met a lease record that is not ours: lists the lease records at once.
+  /// Makes the next tick list the lease records. Called when a write has conflicted with the lease record of
+  /// another process.
   void invalidate() { next_listing_ = Micros{0}; }
 
  private:
   void list_records();
   void on_records_listed(const StoreResponse& response);
   void update_route(ShardRoute& route, const KeyValue* entry);
-  /// Gives up a shard that we lead if its record, as listed, is another's.
+  /// Gives up a shard that this controller leads if the listed lease record is missing or was written by
+  /// another process.
   void check_leadership(const std::string& shard, const KeyValue* entry);
-  void list_records_after_failure();
+  void schedule_listing_after_failure();
 
   void consider_acquiring(const std::string& shard);
-  /// How long a shard without leader is left to its own host and to those that come before us.
+  /// Returns how long this controller leaves a shard without leader to the shard's home host and to the other
+  /// hosts that precede this one in the order of acquisition.
   Micros acquisition_delay(const std::string& shard, const ShardRoute& route) const;
   void begin_term(const std::string& name, FencingToken token, FencingToken replaced);
 
