--- a/src/core/leases/lease_transfer.cpp
+++ b/src/core/leases/lease_transfer.cpp
@@ -53,7 +53,7 @@
   return {shard.name, shard.fencing_token, asked_for, fleet_.unreachable_machines(shard)};
 }
 
-bool LeaseTransfers::holds_off(const std::string& shard) {
+bool LeaseTransfers::is_held_off(const std::string& shard) {
   const auto found = transferred_.find(shard);
   if (found == transferred_.end()) return false;
   const Transferred& transferred = found->second;
--- a/src/core/leases/lease_transfer.h
+++ b/src/core/leases/lease_transfer.h
@@ -34,7 +34,7 @@
   [[nodiscard]] LeaseTransfer begin(const Shard& shard, TransferReason reason);
   /// Returns whether a transferred shard must not be acquired again yet. Removes the record of the transfer
   /// once the shard may be acquired.
-  [[nodiscard]] bool holds_off(const std::string& shard);
+  [[nodiscard]] bool is_held_off(const std::string& shard);
 
   /// Records that a peer has transferred a shard to this controller, which is about to acquire it.
   void on_received(const LeaseTransfer& transfer);
--- a/src/core/leases/shard_leases.cpp
+++ b/src/core/leases/shard_leases.cpp
@@ -88,7 +88,7 @@
     if (held != state_.shards.end() && held->second.fencing_token > fencing_token_of(response.revision))
       continue;
     check_leadership(shard, entry);
-    consider_acquiring(shard);
+    acquire_if_eligible(shard);
   }
 }
 
@@ -119,9 +119,9 @@
 
 // ---- acquisition ---------------------------------------------------------------------------------
 
-void ShardLeases::consider_acquiring(const std::string& shard) {
+void ShardLeases::acquire_if_eligible(const std::string& shard) {
   if (!state_.lease_valid() || !store_lease_.is_granted()) return;
-  if (acquisition_.in_flight(shard) || state_.shards.contains(shard) || transfers_.holds_off(shard)) return;
+  if (acquisition_.in_flight(shard) || state_.shards.contains(shard) || transfers_.is_held_off(shard)) return;
   const ShardRoute& route = state_.routes[shard];
   if (route.revision == 0) {
     if (shard != state_.self() && state_.now() - route.absent_since < acquisition_delay(shard, route)) return;
--- a/src/core/leases/shard_leases.h
+++ b/src/core/leases/shard_leases.h
@@ -42,7 +42,7 @@
   void check_leadership(const std::string& shard, const KeyValue* entry);
   void schedule_listing_after_failure();
 
-  void consider_acquiring(const std::string& shard);
+  void acquire_if_eligible(const std::string& shard);
   /// Returns how long this controller leaves a shard without leader to the shard's home host and to the other
   /// hosts that precede this one in the order of acquisition.
   Micros acquisition_delay(const std::string& shard, const ShardRoute& route) const;
