--- a/src/core/workers/command_builder.cpp
+++ b/src/core/workers/command_builder.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-/// In one message, which then stays far below the longest line of 64 KiB.
+/// Keeps a message well below the maximum line length of 64 KiB.
 constexpr std::size_t kCommandsPerMessage = 200;
 constexpr std::size_t kStartsPerMessage = kCommandsPerMessage / 2;
 constexpr std::size_t kStopsAndForgetsPerMessage = kCommandsPerMessage / 2;
@@ -19,8 +19,8 @@
       break;
   }
   const auto job = shard.jobs.find(command.task.job);
-  const bool job_over = job == shard.jobs.end() || job->second.ended;
-  return job_over ? "forget (job over)" : "forget (end recorded)";
+  const bool job_ended = job == shard.jobs.end() || job->second.ended;
+  return job_ended ? "forget (job ended)" : "forget (end recorded)";
 }
 
 }  // namespace
@@ -50,8 +50,9 @@
   return commands;
 }
 
-/// Until its end is recorded, the worker's status is the only record of a finished task. And an attempt that
-/// a pushed start may still name must stay known to the worker, or it would run again.
+/// Returns whether the worker may be told to forget an ended attempt. The worker's status is the only record
+/// of a finished task until its end is recorded. While a pushed start of the attempt may still arrive, the
+/// worker must remember the attempt, or it would run the attempt again.
 bool CommandBuilder::may_be_forgotten(const Job* job, const AttemptId& id, const Placement& placement) {
   const bool recorded =
       job == nullptr || job->ended || placement.cause != ExitCause::done || job->recorded[id.task.index];
@@ -60,20 +61,20 @@
 
 Command CommandBuilder::stop_command(const Shard& shard, const Job* job, const AttemptId& id,
                                      Placement& placement) {
-  const Micros grace = job == nullptr ? Micros{0} : time_to_save(shard, *job);
+  const Micros grace = job == nullptr ? Micros{0} : stop_grace_period(shard, *job);
   if (placement.stop_requested_at == Micros{0}) placement.stop_requested_at = state_.now();
   return {Command::Kind::stop, id.task, id.attempt, grace};
 }
 
-/// The last check of a start before it is sent: it was placed a while ago, and its job may be over since.
-/// While the last write of a job is under way, its user may have got the outcome already from a peer that
-/// read it. And an award that was last read too long ago may have been taken back: pushed commands once went
-/// out for it as an outage ended, before anything else had checked.
+/// Checks a start immediately before it is sent, because the job may have ended since the task was placed.
+/// While the final write of a job is in flight, the user may already have received the final state from a
+/// peer that read it. An award whose last read is too old may have been withdrawn: without this check,
+/// commands for such an award were pushed at the end of an outage, before any other check had run.
 bool CommandBuilder::may_send_start(Shard& shard, Job* job, const AttemptId& id) {
   if (job == nullptr || job->ended || job->finalizing || shard.award_is_stale(*job, state_.now()))
     return false;
   if (!state_.final_states.has_ended(id.task.job)) return true;
-  state_.context.violated(Invariant::finished_job_stays_off, LogMessage("start of a task whose job is over")
+  state_.context.violated(Invariant::finished_job_stays_off, LogMessage("start of a task whose job has ended")
                                                                  .shard(shard.name)
                                                                  .token(shard.fencing_token)
                                                                  .job(id.task.job)
@@ -83,14 +84,15 @@
   return false;
 }
 
-/// A task that is told to stop may save, unless its job may be cancelled: then it has to be gone in time even
-/// if its machine hangs while it saves.
-Micros CommandBuilder::time_to_save(const Shard& shard, const Job& job) const {
+/// Returns how long a task that is told to stop may take to save a checkpoint. Zero if that time could exceed
+/// the deadline by which a cancelled task must be off its machine, counted from the last read of the awards
+/// and even if the machine hangs while it saves. Only awarded jobs have that limit.
+Micros CommandBuilder::stop_grace_period(const Shard& shard, const Job& job) const {
   const Settings& settings = state_.context.settings;
   if (job.ended || job.spec.checkpoint.count() == 0) return {};
-  const Micros at_most = surely_over(std::max(settings.worker_lease, job.spec.save));
-  const bool in_time =
-      job.owner.empty() || state_.now() + at_most <= shard.award_freshness.read_at + settings.cancel_within;
+  const Micros longest_save = surely_over(std::max(settings.worker_lease, job.spec.save));
+  const bool in_time = job.owner.empty() ||
+                       state_.now() + longest_save <= shard.award_freshness.read_at + settings.cancel_within;
   return in_time ? job.spec.save : Micros{0};
 }
 
--- a/src/core/workers/command_builder.h
+++ b/src/core/workers/command_builder.h
@@ -1,4 +1,4 @@
-// Commands for one machine: the difference between what is wanted on it and what its worker reports.
+// Builds the commands for one machine from the difference between its wanted and its reported tasks.
 #pragma once
 
 #include "core/state/controller_state.h"
@@ -9,15 +9,17 @@
  public:
   explicit CommandBuilder(ControllerState& state) : state_(state) {}
 
-  /// The commands that the machine needs by now. The caller has to send them at once: starts and stops are
-  /// noted as sent. `replied_heartbeat`: the heartbeat whose reply carries them, 0 if they are pushed; the
-  /// caller notes pushed starts itself.
+  /// Returns the commands that the machine needs now. The caller must send them immediately, because the
+  /// stops, and the starts sent in a reply, are recorded as sent. `replied_heartbeat` is the sequence number
+  /// of the heartbeat whose reply carries the commands, or 0 if they are pushed. The caller records pushed
+  /// starts.
   std::vector<Command> commands_for(Shard& shard, Machine& machine, std::uint64_t replied_heartbeat);
-  /// Stops for the tasks of jobs that this shard does not have, as these are over. That holds for any status,
-  /// however old. They go with every reply, as each renews the lease: leaders that follow one another within
-  /// seconds would otherwise keep the tasks of a cancelled job alive.
+  /// Returns stops for the reported tasks whose jobs this shard does not have. Those jobs have ended,
+  /// whatever the age of the status. Every reply must include these stops because every reply renews the
+  /// lease of the worker: otherwise a sequence of leaders within a few seconds would keep the tasks of a
+  /// cancelled job running.
   static std::vector<Command> stops_for_unknown_tasks(const Shard& shard, const Heartbeat& heartbeat);
-  /// Writes a debug line for each command. `replied_heartbeat`: as above.
+  /// Logs each command at debug level. `replied_heartbeat` is the same as for commands_for().
   void log(const Shard& shard, const Machine& machine, const std::vector<Command>& commands,
            std::uint64_t replied_heartbeat) const;
 
@@ -25,7 +27,7 @@
   static bool may_be_forgotten(const Job* job, const AttemptId& id, const Placement& placement);
   bool may_send_start(Shard& shard, Job* job, const AttemptId& id);
   Command stop_command(const Shard& shard, const Job* job, const AttemptId& id, Placement& placement);
-  Micros time_to_save(const Shard& shard, const Job& job) const;
+  Micros stop_grace_period(const Shard& shard, const Job& job) const;
 
   ControllerState& state_;
 };
