--- a/src/core/workers/failure_detector.cpp
+++ b/src/core/workers/failure_detector.cpp
@@ -4,21 +4,22 @@
 
 namespace {
 
-/// A zone may be cut off for that many of its workers' leases before its machines are given up.
-constexpr int kCutLeases = 8;
-/// A quarantined machine is decommissioned once it has been idle for that long.
-constexpr Micros kQuarantinedIdle = seconds(3);
+/// The number of worker leases for which a zone may stay unreachable before its machines are treated as
+/// failed.
+constexpr int kUnreachableZoneLeases = 8;
+/// The idle time after which a quarantined machine is decommissioned.
+constexpr Micros kQuarantinedIdleTime = seconds(3);
 constexpr Micros kHeartbeatSlack = millis(500);
 constexpr Micros kBootSlack = seconds(5);
 
-/// Machines of a zone that ought to send heartbeats, and those among them that don't.
+/// Counts the machines of a zone that are expected to send heartbeats, and those of them that are silent.
 struct ZoneCount {
   std::size_t expected = 0;
   std::size_t silent = 0;
   bool mostly_silent() const { return silent > 1 && silent * 2 > expected; }
 };
 
-/// Whether its worker may hold a lease, as it has reported or may run tasks.
+/// Returns whether the worker may hold a lease: it has sent a status, or tasks may run on it.
 bool may_hold_lease(const Machine& machine) {
   return machine.liveness.status_received || !machine.tasks.empty();
 }
@@ -29,8 +30,9 @@
   return state_.now() - sent_at >= Settings::kWorkerPatience;
 }
 
-/// A cut may swallow one push and delay the heartbeats that follow it. But the machine gets another push as
-/// soon as a heartbeat arrives: if that is lost too, and the next heartbeat comes, nothing reaches it.
+/// A single lost push is weak evidence, because a network partition may drop it and delay the heartbeats that
+/// follow. The machine is sent another push as soon as a heartbeat arrives. If that push is lost too and the
+/// next heartbeat arrives, the machine probably receives nothing.
 void FailureDetector::count_lost_push(Shard& shard, Machine& machine) {
   if (!machine.acknowledgements.take_push_lost()) return;
   shard.request_push(machine);
@@ -48,7 +50,8 @@
   const Liveness& liveness = machine.liveness;
   return liveness.status_received && machine.reconciled && machine.in_use && !liveness.lease_expired &&
          machine.lifecycle.accepts_tasks(now) && !machine.acknowledgements.doubtful() &&
-         // Commands may reach a machine whose heartbeats don't arrive, but they do not renew its lease.
+         // A machine whose heartbeats do not arrive may still receive commands, but these do not renew its
+         // lease.
          now - liveness.last_contact() <= state_.context.settings.heartbeat_interval * 2 + kHeartbeatSlack;
 }
 
@@ -62,11 +65,12 @@
   for (auto& [name, machine] : shard.machines) {
     check_lease(shard, machine, lease);
     if (machine.lifecycle.quarantined && machine.idle() &&
-        state_.now() - machine.idle_since > kQuarantinedIdle)
+        state_.now() - machine.idle_since > kQuarantinedIdleTime)
       machine.lifecycle.decommissioned = true;
     trim_images(machine);
   }
-  // A cut is to be noticed before the first machine has been silent for long enough to be deleted.
+  // An unreachable zone must be detected before its first machine has been silent long enough to be
+  // decommissioned.
   check_zones(shard);
   decommission_failed(shard);
 }
@@ -77,8 +81,8 @@
   if (!machine.liveness.status_received) shard.set_reconciled(machine, true);
 }
 
-/// Nobody renewed its lease: the worker has killed and forgotten everything. Its next incarnation has begun:
-/// a delayed heartbeat of the old one would bring back tasks that are gone.
+/// No reply renewed the lease, so the worker has killed and forgotten all its tasks. Its next incarnation
+/// begins here: a delayed heartbeat of the old incarnation would otherwise restore tasks that no longer run.
 void FailureDetector::expire_lease(Shard& shard, Machine& machine) {
   machine.liveness.lease_expired = true;
   shard.set_reconciled(machine, true);
@@ -87,7 +91,7 @@
     state_.context.info(LogMessage("worker lease expired")
                             .shard(shard.name)
                             .machine(machine.name)
-                            .why("silent for the whole of it"));
+                            .why("no heartbeat was replied to for the whole lease"));
   tasks_.release_all(shard, machine);
 }
 
@@ -96,8 +100,9 @@
   if (type != nullptr) machine.images.trim(type->cache_gb);
 }
 
-/// If most machines of a zone are silent, then the way there is cut, or it is we who are cut off: they are
-/// not deleted for it, as they will be back at once. Only when that lasts, they are given up.
+/// If most machines of a zone are silent, the zone or this controller is probably partitioned from the
+/// network. The machines are not decommissioned then, because they become reachable as soon as the partition
+/// heals. They are treated as failed only if the partition lasts (kUnreachableZoneLeases).
 void FailureDetector::check_zones(Shard& shard) {
   const Micros longest_pause = state_.context.settings.longest_heartbeat_pause();
   std::map<std::string, ZoneCount> zones;
@@ -107,27 +112,27 @@
     ++count.expected;
     if (state_.now() - machine.liveness.last_heartbeat_at > longest_pause) ++count.silent;
   }
-  // With no machine left there, nothing would ever show that the zone can be reached again.
+  // A zone without machines sends no heartbeat that could show that it is reachable again.
   std::erase_if(shard.cut_zones, [&](const auto& cut) { return !zones.contains(cut.first); });
   for (const auto& [zone, count] : zones) {
     if (count.mostly_silent())
-      on_zone_silent(shard, zone);
+      on_zone_unreachable(shard, zone);
     else
-      on_zone_heard(shard, zone);
+      on_zone_reachable(shard, zone);
   }
 }
 
-void FailureDetector::on_zone_silent(Shard& shard, const std::string& zone) const {
+void FailureDetector::on_zone_unreachable(Shard& shard, const std::string& zone) const {
   const auto cut = shard.cut_zones.find(zone);
   if (cut == shard.cut_zones.end()) {
     state_.context.info(LogMessage("zone unreachable").shard(shard.name).zone(zone));
     shard.cut_zones[zone] = state_.now();
-  } else if (state_.now() - cut->second > state_.context.settings.worker_lease * kCutLeases) {
+  } else if (state_.now() - cut->second > state_.context.settings.worker_lease * kUnreachableZoneLeases) {
     shard.cut_zones.erase(cut);
   }
 }
 
-void FailureDetector::on_zone_heard(Shard& shard, const std::string& zone) const {
+void FailureDetector::on_zone_reachable(Shard& shard, const std::string& zone) const {
   if (shard.cut_zones.erase(zone) == 0) return;
   state_.context.info(LogMessage("zone reachable again").shard(shard.name).zone(zone));
   shard.cut_over = state_.now();
@@ -145,11 +150,11 @@
                         !shard.cut_zones.contains(machine.zone);
     if (machine.lifecycle.decommissioned || !(unreachable || silent)) continue;
     machine.lifecycle.decommissioned = true;
-    state_.context.info(
-        LogMessage("machine decommissioned")
-            .shard(shard.name)
-            .machine(name)
-            .why(unreachable ? "it sends heartbeats but acknowledges nothing" : "it is silent"));
+    state_.context.info(LogMessage("machine decommissioned")
+                            .shard(shard.name)
+                            .machine(name)
+                            .why(unreachable ? "it sends heartbeats but acknowledges nothing"
+                                             : "its heartbeats or statuses no longer arrive"));
   }
 }
 
--- a/src/core/workers/failure_detector.h
+++ b/src/core/workers/failure_detector.h
@@ -1,7 +1,8 @@
-// Which machines have failed: silent, unreachable for what is sent to them, or in a zone that is cut off.
+// Detects failed machines: machines that are silent or that receive nothing, and zones that are unreachable.
 //
-// The rules rest on what a worker does: it waits for the reply to a heartbeat before it sends the next, and
-// kills and forgets everything once its lease has run out, which only replies to its heartbeats renew.
+// The rules rely on two properties of a worker. It waits for the reply to a heartbeat before it sends the
+// next one. It kills and forgets all its tasks when its lease expires, and only replies to its heartbeats
+// renew the lease.
 #pragma once
 
 #include "core/workers/task_tracker.h"
@@ -12,21 +13,23 @@
  public:
   FailureDetector(ControllerState& state, TaskTracker& tasks) : state_(state), tasks_(tasks) {}
 
-  /// Ends leases that ran out, watches the zones, and decommissions machines that have failed.
+  /// Expires worker leases, detects unreachable zones and decommissions failed machines.
   void check(Shard& shard);
-  /// Whether tasks may be placed on the machine now.
+  /// Returns whether tasks may be placed on the machine now.
   bool usable(const Machine& machine) const;
-  /// Whether the machine may still be on its way up.
+  /// Returns whether the machine may still be booting.
   bool booting(const Machine& machine) const;
 
-  /// Whether a heartbeat that comes just now was sent after what we sent at `sent_at` (steady clock) had
-  /// either arrived or been lost. While the worker waits for a reply it sends no other heartbeat: one that
-  /// comes sooner was delayed on its way, or the one that we replied to was. Such a heartbeat shows nothing
-  /// of what reaches the machine.
+  /// Returns whether a heartbeat that arrives now was sent after the message that this controller sent at
+  /// `sent_at` (steady clock) had either arrived or been lost. A worker sends no other heartbeat while it
+  /// waits for a reply. A heartbeat that arrives sooner was therefore delayed in the network, or the
+  /// heartbeat that was replied to was. Such a heartbeat does not show whether the machine receives messages.
   bool sent_after(Micros sent_at) const;
-  /// A heartbeat has come: it shows that a push without response before it was not lost with the machine.
+  /// Called when a heartbeat has arrived: if a push before it got no response, the machine is alive and the
+  /// push was lost. Counts that push.
   static void count_lost_push(Shard& shard, Machine& machine);
-  /// Adds evidence that nothing reaches the machine. It gets a push: a response to it voids all evidence.
+  /// Adds evidence that the machine receives nothing, and requests a push to it. A response to the push
+  /// clears all evidence.
   static void add_missed_acknowledgement(Shard& shard, Machine& machine, int weight);
 
  private:
@@ -34,8 +37,8 @@
   void check_lease(Shard& shard, Machine& machine, Micros lease);
   void trim_images(Machine& machine) const;
   void check_zones(Shard& shard);
-  void on_zone_silent(Shard& shard, const std::string& zone) const;
-  void on_zone_heard(Shard& shard, const std::string& zone) const;
+  void on_zone_unreachable(Shard& shard, const std::string& zone) const;
+  void on_zone_reachable(Shard& shard, const std::string& zone) const;
   void decommission_failed(Shard& shard);
 
   ControllerState& state_;
