--- a/src/core/workers/fleet_handover.cpp
+++ b/src/core/workers/fleet_handover.cpp
@@ -1,13 +1,13 @@
-// What one leader of a shard passes to the next about machines that are silent.
+// The information about silent machines that one leader of a shard passes to the next.
 #include "core/workers/fleet.h"
 
 namespace bendtide {
 
 namespace {
 
-constexpr std::size_t kHandoverLimit = 1500;  ///< machines and tasks in one message
+constexpr std::size_t kHandoverLimit = 1500;  ///< machines and tasks together, in one message
 
-/// The tasks that may take resources of the machine.
+/// Returns statuses of the tasks that may use resources of the machine.
 std::vector<TaskStatus> statuses_of(const Machine& machine) {
   std::vector<TaskStatus> statuses;
   for (const auto& [id, placement] : machine.tasks) {
@@ -36,9 +36,10 @@
   return unreachable;
 }
 
-/// They are as if they had just reported: reconciled, and what may be on them is placed there until it is
-/// proved to be off. The last leader did nothing with the shard after it sent this, and we took the shard
-/// over from the very lease record that it wrote.
+/// Treats each machine as if it had sent a status: it is reconciled, and the tasks that may be on it
+/// stay placed there until they are known to be gone. This is safe because the previous leader stopped acting
+/// for the shard before it sent the handover, and this controller replaced exactly that leader's lease
+/// record.
 void Fleet::restore_unreachable_machines(Shard& shard) {
   for (const UnreachableMachine& unreachable : std::exchange(shard.handover, {})) {
     const auto found = shard.machines.find(unreachable.machine);
