--- a/src/core/workers/fleet_heartbeats.cpp
+++ b/src/core/workers/fleet_heartbeats.cpp
@@ -1,4 +1,4 @@
-// Replies to the heartbeats of own machines.
+// Replies to the heartbeats of machines of the shards that this controller leads.
 #include "core/workers/fleet.h"
 
 namespace bendtide {
@@ -9,8 +9,8 @@
   machine->liveness.last_heartbeat_at = state_.now();
   FailureDetector::count_lost_push(shard, *machine);
   judge_unacknowledged_token(shard, *machine, heartbeat);
-  // Nothing reaches it, so a reply would renew nothing; but the proof by its lease would wait for one that
-  // did.
+  // A reply would not reach the machine and so would not renew its lease. But recording the reply would
+  // postpone the time at which the lease is known to have expired.
   if (machine->acknowledgements.unreachable()) return router_.refuse(request);
   machine->acknowledgements.token_sent(state_.now());
   const Micros previous_reply_at = std::exchange(machine->liveness.last_reply_at, state_.now());
@@ -23,28 +23,31 @@
   state_.context.act(AnswerHeartbeat{request, std::move(reply)});
 }
 
-/// The machine of a heartbeat that may be replied to; null if it may not.
+/// Returns the machine of a heartbeat that may be replied to; null if the heartbeat must be refused.
 Machine* Fleet::accept_heartbeat(Shard& shard, const Heartbeat& heartbeat) const {
   if (heartbeat.fencing_token > shard.fencing_token) {
-    // A higher fencing token was given out: either there is another leader, or the machine belonged to
-    // another shard.
+    // A higher fencing token was issued: either the shard has another leader, or the machine belonged to
+    // another shard before.
     hooks_.invalidate_leases();
     shard.token_advance.request_soon();
     return nullptr;
   }
   const auto found = shard.machines.find(heartbeat.machine);
-  // A deleted machine: the heartbeat is from before its end.
+  // The machine was deleted; the heartbeat was sent before that.
   if (found == shard.machines.end()) return nullptr;
-  // Nobody waits for the reply to a copy, and it renews nothing.
+  // The worker does not wait for the reply to a duplicate heartbeat, and that reply would not renew its
+  // lease.
   if (found->second.liveness.is_copy(heartbeat)) return nullptr;
   return &found->second;
 }
 
-/// A heartbeat without our fencing token, sent long after the token was: the token did not arrive.
+/// Adds evidence if a heartbeat was sent well after a fencing token of this leadership term was, but does not
+/// show it: the token did not arrive.
 void Fleet::judge_unacknowledged_token(Shard& shard, Machine& machine, const Heartbeat& heartbeat) {
   Acknowledgements& acknowledgements = machine.acknowledgements;
   const std::optional<Micros> token_sent_at = acknowledgements.token_sent_at();
-  if (is_trusted(shard, heartbeat) || !token_sent_at || !failures_.sent_after(*token_sent_at)) return;
+  if (is_trusted(shard, heartbeat) || !token_sent_at || !failures_.sent_after(*token_sent_at))
+    return;
   FailureDetector::add_missed_acknowledgement(shard, machine, Acknowledgements::kStrongEvidence);
   acknowledgements.restart_token_wait(state_.now());
 }
@@ -60,7 +63,8 @@
   return commands;
 }
 
-/// A new incarnation though our last reply should have kept the lease of the old one: it did not arrive.
+/// Adds evidence if a new incarnation began although the last reply should have renewed the lease of the old
+/// one: the reply did not arrive.
 void Fleet::judge_short_incarnation(Shard& shard, Machine& machine, const Heartbeat& heartbeat,
                                     Micros previous_reply_at) {
   const Liveness& liveness = machine.liveness;
@@ -72,7 +76,8 @@
     FailureDetector::add_missed_acknowledgement(shard, machine, Acknowledgements::kStrongEvidence);
 }
 
-std::vector<Command> Fleet::reply_to_untrusted(Shard& shard, Machine& machine, const Heartbeat& heartbeat) {
+std::vector<Command> Fleet::reply_to_untrusted(Shard& shard, Machine& machine,
+                                                      const Heartbeat& heartbeat) {
   if (!machine.reconciled) {
     machine.address = heartbeat.address;
     shard.request_push(machine);
