--- a/src/core/workers/fleet_pushes.cpp
+++ b/src/core/workers/fleet_pushes.cpp
@@ -1,11 +1,12 @@
-// Commands that are pushed to machines outside the replies to their heartbeats.
+// Pushes commands to machines, outside the replies to their heartbeats.
 #include "core/workers/fleet.h"
 
 namespace bendtide {
 
 using Outcome = CommandResponse::Outcome;
 
-/// Whether something should not wait for the machine's next heartbeat.
+/// Returns whether the machine needs commands, a fencing token or a check that should not wait for its next
+/// heartbeat.
 bool Fleet::needs_push(const Machine& machine) {
   if (!machine.reconciled || machine.acknowledgements.any_evidence()) return true;
   return std::any_of(machine.tasks.begin(), machine.tasks.end(), [](const auto& entry) {
@@ -16,7 +17,8 @@
   });
 }
 
-/// A silent machine gets its commands with the reply to its next heartbeat.
+/// Returns whether commands may be pushed to the machine now. A silent machine that is reconciled receives
+/// its commands in the reply to its next heartbeat instead.
 bool Fleet::may_push_to(const Machine& machine) const {
   if (machine.push_in_flight || machine.liveness.lease_expired || machine.lifecycle.decommissioned ||
       machine.address.empty())
@@ -41,7 +43,7 @@
   }
 }
 
-/// Before all tasks on it are known, the machine is only shown the fencing token.
+/// Sends a machine its commands. A machine that is not reconciled receives only the fencing token.
 void Fleet::push_commands_to(Shard& shard, Machine& machine) {
   std::vector<Command> commands;
   if (machine.reconciled) commands = commands_.commands_for(shard, machine, 0);
@@ -87,8 +89,8 @@
   if (response.outcome != Outcome::unknown && needs_push(machine)) shard->request_push(machine);
 }
 
-/// Its starts may be executed at any later time under the fencing token of the push: a higher one is needed,
-/// which the worker has to acknowledge.
+/// Handles a push without response. Its starts may still be executed at any later time under the fencing
+/// token of the push, until the worker acknowledges a higher token.
 void Fleet::on_push_lost(Shard& shard, Machine& machine, const WorkerCalls::Push& push) {
   for (const AttemptId& id : push.starts) {
     const auto placed = machine.tasks.find(id);
@@ -102,12 +104,12 @@
 void Fleet::apply_response_status(Shard& shard, Machine& machine, const CommandResponse& response) {
   const Heartbeat& status = *response.heartbeat;
   if (!machine.reconciled && response.outcome == Outcome::refused) {
-    // It will be shown the fencing token once more.
+    // The worker refused the request; on_push_response() requests another push with the fencing token.
     if (status.incarnation > machine.liveness.incarnation) begin_incarnation(machine, status.incarnation);
   } else if (is_trusted(shard, status) && machine.liveness.is_newer_status(status)) {
     apply_status(shard, machine, status, StatusSource::command_response);
   }
-  machine.acknowledgements.clear_missed();  // executed or refused, the request arrived
+  machine.acknowledgements.clear_missed();  // the request arrived, whether executed or refused
 }
 
 }  // namespace bendtide
