--- a/src/core/workers/fleet_statuses.cpp
+++ b/src/core/workers/fleet_statuses.cpp
@@ -1,17 +1,19 @@
-// What a worker's status changes, whether it came in a heartbeat or in the response to a command request.
+// Applies the statuses of workers, which arrive in heartbeats and in responses to command requests.
 #include "core/workers/fleet.h"
 
 namespace bendtide {
 
-/// A status that shows no fencing token of this leadership term may be a late copy from before it, by any
-/// time: it may be replied to, so that the worker learns the fencing token, but nothing in it is trusted.
+/// Returns whether the contents of a status may be used. A status without a fencing token of this leadership
+/// term may be a copy from before the term, delayed by any length of time. It is still replied to, so that
+/// the worker receives the fencing token.
 bool Fleet::is_trusted(const Shard& shard, const Heartbeat& status) {
   return status.fencing_token >= shard.first_fencing_token;
 }
 
-/// The worker's lease runs from the beginning of the incarnation, which a refused or executed command request
-/// shows as well: a worker that reaches no controller still gets commands. Without this its tasks would be
-/// given up, and started elsewhere, while they run on for the rest of the new lease.
+/// Records a new incarnation, whose beginning also starts the worker's lease. The incarnation may be learned
+/// from the response to a command request, because a worker whose heartbeats reach no controller may still
+/// receive commands. If the lease were not counted from here, the tasks of such a worker would be started
+/// elsewhere while they keep running until the new lease expires.
 void Fleet::begin_incarnation(Machine& machine, std::uint64_t incarnation) const {
   machine.begin_incarnation(incarnation);
   machine.liveness.last_reply_at = state_.now();
@@ -36,13 +38,14 @@
   if (!machine.idle()) machine.idle_since = state_.now();
 }
 
-/// A new incarnation begins with an empty machine.
+/// Releases all tasks if a new incarnation has begun: it starts without tasks.
 void Fleet::apply_incarnation(Shard& shard, Machine& machine, const Heartbeat& status) {
   if (status.incarnation > machine.liveness.incarnation) {
     tasks_.release_all(shard, machine);
     begin_incarnation(machine, status.incarnation);
   }
-  // Given up, and yet there: it began the incarnation that we expected at some unknown moment.
+  // The lease was recorded as expired, but the worker is alive: it began the expected incarnation at an
+  // unknown time, so its lease is counted from now.
   if (machine.liveness.lease_expired) machine.liveness.last_reply_at = state_.now();
 }
 
@@ -50,7 +53,7 @@
   Liveness& liveness = machine.liveness;
   if (!liveness.status_received || liveness.lease_expired) {
     shard.changed();
-    machine.idle_since = state_.now();  // nothing could be placed on it before
+    machine.idle_since = state_.now();  // no task could be placed on it before
   }
   if (!liveness.status_received && !machine.in_use) ownership_.on_machine_up(shard, machine);
   liveness.status_received = true;
@@ -65,8 +68,8 @@
   machine.lifecycle.preemption_notice_until = state_.now() + *status.preemption_notice;
 }
 
-/// What our last reply was to lead to: a higher fencing token in the status, and the attempts that it
-/// started.
+/// Returns the expected effect of the last reply, and whether the status shows it: a higher fencing token,
+/// and the attempts that the reply started.
 Fleet::ReplyEffect Fleet::reply_effect(const Machine& machine, const Heartbeat& status) {
   const Acknowledgements& acknowledgements = machine.acknowledgements;
   const std::uint64_t replied_heartbeat = acknowledgements.replied_heartbeat();
@@ -83,15 +86,18 @@
   return effect;
 }
 
-/// A higher fencing token shows that something arrived, and rules out starts under lower ones.
+/// Records the fencing token that a status shows. A higher token proves that a message arrived, and that
+/// starts pushed under lower tokens will not be executed.
 void Fleet::apply_fencing_token(Machine& machine, FencingToken token) {
   if (token > machine.acknowledgements.acknowledged_token()) machine.acknowledgements.clear_missed();
   machine.acknowledgements.set_acknowledged_token(token);
   for (auto& [id, placement] : machine.tasks) placement.start.token_acknowledged(token);
 }
 
-/// An attempt that was there and is not listed is gone. So is one that never showed, if it is not wanted any
-/// more: the worker was done with our last reply before it sent this heartbeat.
+/// Releases the attempts that a heartbeat does not list. An attempt that an earlier status listed is gone. An
+/// attempt that no status has listed and that is no longer wanted will not start: the worker had processed
+/// the last reply with its start before it sent this heartbeat. Attempts that a push may still start are
+/// kept.
 void Fleet::release_absent_tasks(Shard& shard, Machine& machine, std::uint64_t sequence_number) {
   std::vector<AttemptId> absent;
   for (const auto& [id, placement] : machine.tasks) {
