--- a/src/core/workers/fleet.cpp
+++ b/src/core/workers/fleet.cpp
@@ -47,7 +47,7 @@
   router_.resume_deferred();
 }
 
-/// All machines are reconciled, so that every task of the loaded jobs is known.
+/// Called when all machines are reconciled, so that every task of the loaded jobs is known.
 void Fleet::finish_reconciliation(Shard& shard) {
   shard.has_unreconciled_jobs = false;
   state_.context.info(LogMessage("shard reconciled").shard(shard.name));
--- a/src/core/workers/fleet.h
+++ b/src/core/workers/fleet.h
@@ -1,11 +1,11 @@
-// The machines of the shards that are led here: heartbeats in, commands out.
+// Manages the machines of the shards that this controller leads: receives heartbeats and sends commands.
 //
-//   HeartbeatRouter   finds the leader for a heartbeat
-//   Fleet             applies the statuses of own machines, replies, and pushes commands
-//   TaskTracker       what becomes of the tasks on a machine
-//   CommandBuilder    which commands a machine needs
-//   WorkerCalls       pushed commands and probes whose response is awaited
-//   FailureDetector   which machines have failed
+//   HeartbeatRouter   routes a heartbeat to the leader of its machine's shard
+//   Fleet             applies the statuses of the machines, replies to heartbeats, and pushes commands
+//   TaskTracker       tracks the tasks on a machine
+//   CommandBuilder    builds the commands that a machine needs
+//   WorkerCalls       tracks pushed commands and probes that await a response
+//   FailureDetector   detects failed machines
 #pragma once
 
 #include "core/ownership/machine_ownership.h"
@@ -20,8 +20,8 @@
 class Fleet {
  public:
   struct Hooks {
-    std::function<void(Shard&, Machine&)> fill;  ///< place waiting tasks that fit on the machine
-    std::function<void()> invalidate_leases;     ///< read the lease records again
+    std::function<void(Shard&, Machine&)> fill;  ///< places waiting tasks on the machine
+    std::function<void()> invalidate_leases;  ///< requests that the lease records be read again
   };
 
   Fleet(ControllerState& state, Hooks hooks);
@@ -32,34 +32,35 @@
   void on_shard_ready(Shard& shard);
   void on_shard_lost(const std::string& shard) { ownership_.on_shard_lost(shard); }
 
-  /// What the leader of a shard knows of its silent machines, for the next leader.
+  /// Returns what this leader of the shard knows about its silent machines, for the next leader.
   std::vector<UnreachableMachine> unreachable_machines(const Shard& shard) const;
-  /// Takes over what the last leader knew of machines that we may never hear.
+  /// Restores what the previous leader knew about machines that may never contact this controller.
   void restore_unreachable_machines(Shard& shard);
 
-  /// Calls `done` with whether the worker can be reached.
+  /// Probes a worker and calls `done` with whether it is reachable.
   void probe(const std::string& address, WorkerCalls::ProbeCallback done);
   /// Sends the commands that should not wait for the next heartbeat.
   void push_commands(Shard& shard);
 
-  /// Adds a machine that the shard owns. `reconciled`: no unknown task can be on it.
+  /// Adds a machine that the shard owns. `reconciled` means that no unknown task can be on it.
   Machine& add(Shard& shard, const Machine& machine, bool reconciled);
-  /// Removes a machine that was deleted, with everything on it.
+  /// Removes a machine that was deleted, and releases its tasks.
   void remove(Shard& shard, const std::string& machine);
-  /// Whether tasks may be placed on the machine now.
+  /// Returns whether tasks may be placed on the machine now.
   bool usable(const Machine& machine) const { return failures_.usable(machine); }
-  /// Whether the machine may still be on its way up.
+  /// Returns whether the machine may still be booting.
   bool booting(const Machine& machine) const { return failures_.booting(machine); }
   MachineOwnership& ownership() { return ownership_; }
 
  private:
-  /// What a reply to a heartbeat was to lead to, and whether the next heartbeat shows that it did.
+  /// Whether the last reply to a heartbeat should have a visible effect, and whether the next heartbeat shows
+  /// it.
   struct ReplyEffect {
     bool expected = false;
     bool seen = false;
   };
 
-  // ---- heartbeats of own machines (fleet_heartbeats.cpp) -------------------------------------------
+  // ---- heartbeats of machines of the shards led here (fleet_heartbeats.cpp) --------------------
 
   void on_own_heartbeat(std::uint64_t request, Shard& shard, const Heartbeat& heartbeat);
   Machine* accept_heartbeat(Shard& shard, const Heartbeat& heartbeat) const;
