--- a/src/core/workers/heartbeat_router.cpp
+++ b/src/core/workers/heartbeat_router.cpp
@@ -4,9 +4,9 @@
 
 namespace {
 
-/// A heartbeat waits that long for a change of leader: its worker is still there to get the reply.
-constexpr Micros kDeferFor = Settings::kWorkerPatience - Settings::kWorkerRetry;
-constexpr std::size_t kRememberedDeleted = 4096;
+/// The time for which a heartbeat is deferred. It ends while the worker still waits for the reply.
+constexpr Micros kMaxDeferral = Settings::kWorkerPatience - Settings::kWorkerRetry;
+constexpr std::size_t kMaxRememberedDeletedMachines = 4096;
 
 }  // namespace
 
@@ -23,25 +23,26 @@
   state_.context.act(AnswerHeartbeat{request, {421, 0, {}, leader}});
 }
 
-void HeartbeatRouter::route(std::uint64_t request, const Heartbeat& heartbeat, Micros since) {
+void HeartbeatRouter::route(std::uint64_t request, const Heartbeat& heartbeat, Micros received_at) {
   if (!state_.lease_valid()) return refuse(request);
   const std::string* shard_name = ownership_.shard_of(heartbeat.machine);
-  if (shard_name == nullptr) return route_unowned(request, heartbeat, since);
+  if (shard_name == nullptr) return route_unowned(request, heartbeat, received_at);
   if (Shard* shard = state_.held_shard(*shard_name)) {
     if (shard->ready()) return on_own_heartbeat_(request, *shard, heartbeat);
-    return defer(request, heartbeat, since);  // the shard is being loaded
+    return defer(request, heartbeat, received_at);  // the shard is being loaded
   }
   const std::string leader = state_.leader_of(*shard_name);
   if (leader == state_.self()) return refuse(request);
-  // A leader that hangs would keep the worker waiting for longer than its lease lasts. It does better to wait
-  // here for a moment, until the shard has a new leader.
-  const bool just_came = state_.now() - since < kDeferFor;
-  if (!state_.reachable(leader) && just_came) return defer(request, heartbeat, since);
+  // A worker that is redirected to a leader that hangs could wait for longer than its lease lasts. Deferring
+  // the heartbeat briefly gives the shard time to get a new leader.
+  const bool may_defer = state_.now() - received_at < kMaxDeferral;
+  if (!state_.reachable(leader) && may_defer) return defer(request, heartbeat, received_at);
   redirect(request, leader);
 }
 
-/// Only the leader of its home shard writes an ownership record of a machine; nobody else need read anything.
-void HeartbeatRouter::route_unowned(std::uint64_t request, const Heartbeat& heartbeat, Micros since) {
+/// Only the leader of the machine's home shard writes the first ownership record of a machine. Other
+/// controllers redirect its heartbeats there and need not read the ownership records.
+void HeartbeatRouter::route_unowned(std::uint64_t request, const Heartbeat& heartbeat, Micros received_at) {
   const std::string home = ownership_.home_shard(heartbeat.machine, heartbeat.zone);
   Shard* shard = state_.held_shard(home);
   if (shard == nullptr) {
@@ -49,18 +50,18 @@
     return leader == state_.self() ? refuse(request) : redirect(request, leader);
   }
   if (!shard->ready() || deleted_.contains(heartbeat.machine)) return refuse(request);
-  defer(request, heartbeat, since);
-  // A machine that was never owned was never given a fencing token: this one is owned by another shard, or
-  // was deleted.
+  defer(request, heartbeat, received_at);
+  // A machine that was never owned has no fencing token. A machine with a token is owned by another shard or
+  // was deleted, so the ownership records must be read again.
   if (heartbeat.fencing_token != 0) return ownership_.invalidate();
   ownership_.request(*shard, machine_from({heartbeat.machine, heartbeat.type, heartbeat.zone, heartbeat.spot,
                                            heartbeat.address, state_.context.wall}));
 }
 
-void HeartbeatRouter::defer(std::uint64_t request, const Heartbeat& heartbeat, Micros since) {
-  // Each holds a socket, so that there can't be more of them.
+void HeartbeatRouter::defer(std::uint64_t request, const Heartbeat& heartbeat, Micros received_at) {
+  // Each deferred heartbeat occupies a socket, so their number is limited by the number of sockets.
   if (deferred_.size() >= state_.context.settings.sockets) return refuse(request);
-  deferred_.push_back({request, heartbeat, since});
+  deferred_.push_back({request, heartbeat, received_at});
 }
 
 void HeartbeatRouter::resume_deferred() {
@@ -68,7 +69,7 @@
   std::swap(deferred, deferred_);
   for (Deferred& waiting : deferred) {
     if (ownership_.shard_of(waiting.heartbeat.machine) != nullptr)
-      route(waiting.request, waiting.heartbeat, waiting.since);
+      route(waiting.request, waiting.heartbeat, waiting.received_at);
     else
       deferred_.push_back(std::move(waiting));
   }
@@ -76,7 +77,7 @@
 
 void HeartbeatRouter::expire_deferred() {
   std::erase_if(deferred_, [&](const Deferred& waiting) {
-    if (state_.now() - waiting.since < kDeferFor) return false;
+    if (state_.now() - waiting.received_at < kMaxDeferral) return false;
     refuse(waiting.request);
     return true;
   });
@@ -85,7 +86,7 @@
 void HeartbeatRouter::on_machine_deleted(const std::string& machine) {
   deleted_.insert(machine);
   deleted_order_.push_back(machine);
-  while (deleted_order_.size() > kRememberedDeleted) {
+  while (deleted_order_.size() > kMaxRememberedDeletedMachines) {
     deleted_.erase(deleted_order_.front());
     deleted_order_.pop_front();
   }
