--- a/src/core/workers/task_tracker.cpp
+++ b/src/core/workers/task_tracker.cpp
@@ -4,13 +4,13 @@
 
 namespace {
 
-constexpr std::size_t kRememberedFailedMachines = 8;  ///< by a job
+constexpr std::size_t kMaxFailedMachinesPerJob = 8;
 constexpr std::size_t kFailedJobsToQuarantine = 2;
 constexpr Micros kCordonAfterRefusal = seconds(1);
 constexpr Micros kRetryAfterUnknownEnd = seconds(1);
 constexpr Micros kFirstRetry = seconds(1);
 constexpr Micros kLongestRetry = seconds(30);
-constexpr int kRetryDoublings = 5;
+constexpr int kMaxRetryDoublings = 5;
 
 Placement::Seen seen_as(TaskPhase phase) {
   switch (phase) {
@@ -26,8 +26,8 @@
   return Placement::Seen::ended;
 }
 
-/// Whether this attempt, on this machine, is the one by which the task goes.
-bool counts(const Task& task, const Machine& machine, const AttemptId& id) {
+/// Returns whether the task is placed on this machine as this attempt.
+bool is_current_attempt(const Task& task, const Machine& machine, const AttemptId& id) {
   return task.state == Task::State::placed && task.machine == &machine && task.attempt == id.attempt;
 }
 
@@ -52,8 +52,10 @@
   }
 }
 
-/// Started by an earlier leader, or reported late: it is kept if its task is still to be done. One that is
-/// saving is stopped, but until it is gone it is here, and must not start elsewhere.
+/// Adds an attempt that the worker reports but this leader did not place, or has already released. It was
+/// started by an earlier leader or reported late. The attempt is kept if its task is waiting. An attempt that
+/// is saving is stopped, but its task stays placed on the machine and must not start elsewhere until the
+/// attempt is gone.
 Placement& TaskTracker::adopt(Shard& shard, Machine& machine, const TaskStatus& status, Job* job) {
   const AttemptId id{status.task, status.attempt};
   Placement& placement = shard.place(machine, id, job);
@@ -78,11 +80,13 @@
 void TaskTracker::on_attempt_ended(Shard& shard, Machine& machine, const AttemptId& id,
                                    Placement& placement) {
   const ExitCause cause = placement.cause;
-  const bool was_wanted = std::exchange(placement.wanted, false);  // an ended task is in no sum
+  // An ended attempt counts in no resource sum, so `wanted` may be changed without Shard::change().
+  const bool was_wanted = std::exchange(placement.wanted, false);
   shard.changed();
   if (placement.start.was_pushed()) {
-    // As long as the worker holds the attempt, ended, a copy of the pushed start has no effect. It is kept
-    // until the fencing token is higher, which is urgent if the task is to run again.
+    // A copy of the pushed start has no effect while the worker remembers the ended attempt. The worker must
+    // remember it until it acknowledges a higher fencing token. The higher token is urgent if the task must
+    // run again.
     placement.start.attempt_ended();
     if (cause == ExitCause::done)
       shard.token_advance.request_eventually();
@@ -92,7 +96,7 @@
   Job* job = shard.job_of(id.task);
   if (job == nullptr) return;
   if (cause == ExitCause::done) return on_attempt_succeeded(machine, id, *job);
-  if (counts(job->tasks[id.task.index], machine, id)) job->set_waiting(id.task.index);
+  if (is_current_attempt(job->tasks[id.task.index], machine, id)) job->set_waiting(id.task.index);
   switch (cause) {
     case ExitCause::failed:
       on_attempt_failed(shard, machine, *job);
@@ -121,26 +125,28 @@
   }
 }
 
-/// An attempt that ran on elsewhere after this one was given up has its own placement, and goes by that.
+/// Marks an array task as done if this attempt is its current one or if the task is waiting. If the task has
+/// been placed elsewhere since, that attempt has its own placement and determines the state of the task.
 void TaskTracker::on_attempt_succeeded(Machine& machine, const AttemptId& id, Job& job) const {
   machine.failed_jobs.clear();
   machine.images.record_use(job.spec.image, job.spec.image_gb, state_.now());
   const Task& task = job.tasks[id.task.index];
-  const bool counted = counts(task, machine, id);
-  if ((counted || task.state == Task::State::waiting) && job.spec.shape == Shape::array)
+  const bool is_current = is_current_attempt(task, machine, id);
+  if ((is_current || task.state == Task::State::waiting) && job.spec.shape == Shape::array)
     job.mark_done(id.task.index, false);
-  else if (counted)
+  else if (is_current)
     job.set_waiting(id.task.index);
 }
 
-/// Is it the machine or the job? A machine is taken to be faulty once tasks of two jobs failed on it with no
-/// success in between, a job once it failed on two machines that are not.
+/// Attributes the failure to the machine or to the job. A machine counts as faulty once tasks of two jobs
+/// have failed on it without a success in between. A job counts as faulty once it has failed on two machines
+/// that are not faulty.
 void TaskTracker::on_attempt_failed(Shard& shard, Machine& machine, Job& job) {
   ++job.failures;
   job.failed_on.insert(machine.name);
-  if (job.failed_on.size() > kRememberedFailedMachines) job.failed_on.erase(job.failed_on.begin());
+  if (job.failed_on.size() > kMaxFailedMachinesPerJob) job.failed_on.erase(job.failed_on.begin());
   if (job.suspect()) {
-    const Micros delay = kFirstRetry * (1 << std::min(job.failures, kRetryDoublings));
+    const Micros delay = kFirstRetry * (1 << std::min(job.failures, kMaxRetryDoublings));
     job.retry_at = state_.now() + std::min(kLongestRetry, delay);
     return;
   }
@@ -149,7 +155,7 @@
     quarantine(shard, machine);
 }
 
-/// Nothing more is placed on it, and its failures no longer count against the jobs.
+/// Stops the placement of tasks on the machine. Failures on it no longer count against the jobs.
 void TaskTracker::quarantine(Shard& shard, Machine& machine) {
   machine.lifecycle.quarantined = true;
   state_.context.info(LogMessage("machine quarantined")
@@ -162,7 +168,8 @@
 
 void TaskTracker::release(Shard& shard, Machine& machine, const AttemptId& id) {
   Job* job = shard.job_of(id.task);
-  if (job != nullptr && counts(job->tasks[id.task.index], machine, id)) job->set_waiting(id.task.index);
+  if (job != nullptr && is_current_attempt(job->tasks[id.task.index], machine, id))
+    job->set_waiting(id.task.index);
   shard.remove(machine, id);
   shard.changed();
   if (machine.tasks.empty()) machine.idle_since = state_.now();
--- a/src/core/workers/task_tracker.h
+++ b/src/core/workers/task_tracker.h
@@ -1,5 +1,5 @@
-// The tasks on machines: what statuses show of them, what the end of an attempt means for its job and its
-// machine, and which attempts are surely off a machine.
+// Tracks the tasks on machines: applies the statuses that workers report, updates the job and the machine
+// when an attempt ends, and releases attempts that are known to be off a machine.
 #pragma once
 
 #include "core/state/controller_state.h"
@@ -10,9 +10,10 @@
  public:
   explicit TaskTracker(ControllerState& state) : state_(state) {}
 
-  /// Applies what a status of the machine, with this sequence number, shows of one task.
+  /// Applies the status of one task, from the machine status with this sequence number.
   void apply_status(Shard& shard, Machine& machine, const TaskStatus& status, std::uint64_t sequence_number);
-  /// The attempt is surely off the machine: if it counts, its task waits to be placed again.
+  /// Removes an attempt that is known to be off the machine. If it is the current attempt of its task, the
+  /// task waits to be placed again.
   void release(Shard& shard, Machine& machine, const AttemptId& id);
   void release_all(Shard& shard, Machine& machine);
 
