--- a/src/core/workers/worker_calls.cpp
+++ b/src/core/workers/worker_calls.cpp
@@ -7,6 +7,7 @@
 constexpr std::size_t kMinPushLimit = 16;
 constexpr std::size_t kSocketsPerPush = 12;
 
+/// Removes a call from the map and returns its value; none if the map does not have it.
 template <class Value>
 std::optional<Value> take(std::map<std::uint64_t, Value>& calls, std::uint64_t call) {
   auto node = calls.extract(call);
