--- a/src/core/workers/failure_detector.cpp
+++ b/src/core/workers/failure_detector.cpp
@@ -26,7 +26,7 @@
 
 }  // namespace
 
-bool FailureDetector::sent_after(Micros sent_at) const {
+bool FailureDetector::sent_after_delivery_of(Micros sent_at) const {
   return state_.now() - sent_at >= Settings::kWorkerPatience;
 }
 
--- a/src/core/workers/failure_detector.h
+++ b/src/core/workers/failure_detector.h
@@ -24,7 +24,7 @@
   /// `sent_at` (steady clock) had either arrived or been lost. A worker sends no other heartbeat while it
   /// waits for a reply. A heartbeat that arrives sooner was therefore delayed in the network, or the
   /// heartbeat that was replied to was. Such a heartbeat does not show whether the machine receives messages.
-  bool sent_after(Micros sent_at) const;
+  bool sent_after_delivery_of(Micros sent_at) const;
   /// Called when a heartbeat has arrived: if a push before it got no response, the machine is alive and the
   /// push was lost. Counts that push.
   static void count_lost_push(Shard& shard, Machine& machine);
--- a/src/core/workers/fleet.h
+++ b/src/core/workers/fleet.h
@@ -20,7 +20,7 @@
 class Fleet {
  public:
   struct Hooks {
-    std::function<void(Shard&, Machine&)> fill;  ///< places waiting tasks on the machine
+    std::function<void(Shard&, Machine&)> place_waiting_tasks;  ///< places waiting tasks on the machine
     std::function<void()> invalidate_leases;  ///< requests that the lease records be read again
   };
 
@@ -64,11 +64,11 @@
 
   void on_own_heartbeat(std::uint64_t request, Shard& shard, const Heartbeat& heartbeat);
   Machine* accept_heartbeat(Shard& shard, const Heartbeat& heartbeat) const;
-  void judge_unacknowledged_token(Shard& shard, Machine& machine, const Heartbeat& heartbeat);
+  void check_token_acknowledgement(Shard& shard, Machine& machine, const Heartbeat& heartbeat);
   std::vector<Command> reply_to_status(Shard& shard, Machine& machine, const Heartbeat& heartbeat,
                                        Micros previous_reply_at);
-  std::vector<Command> reply_to_untrusted(Shard& shard, Machine& machine, const Heartbeat& heartbeat);
-  void judge_short_incarnation(Shard& shard, Machine& machine, const Heartbeat& heartbeat,
+  std::vector<Command> reply_to_untrusted_status(Shard& shard, Machine& machine, const Heartbeat& heartbeat);
+  void check_early_incarnation(Shard& shard, Machine& machine, const Heartbeat& heartbeat,
                                Micros previous_reply_at);
 
   // ---- statuses, in heartbeats or responses (fleet_statuses.cpp) -----------------------------------
@@ -83,7 +83,7 @@
   static void apply_fencing_token(Machine& machine, FencingToken token);
   static ReplyEffect reply_effect(const Machine& machine, const Heartbeat& status);
   void release_absent_tasks(Shard& shard, Machine& machine, std::uint64_t sequence_number);
-  void judge_reply_effect(Shard& shard, Machine& machine, const ReplyEffect& effect) const;
+  void check_reply_effect(Shard& shard, Machine& machine, const ReplyEffect& effect) const;
 
   // ---- pushed commands (fleet_pushes.cpp) ----------------------------------------------------------
 
--- a/src/core/workers/fleet_heartbeats.cpp
+++ b/src/core/workers/fleet_heartbeats.cpp
@@ -8,7 +8,7 @@
   if (machine == nullptr) return router_.refuse(request);
   machine->liveness.last_heartbeat_at = state_.now();
   FailureDetector::count_lost_push(shard, *machine);
-  judge_unacknowledged_token(shard, *machine, heartbeat);
+  check_token_acknowledgement(shard, *machine, heartbeat);
   // A reply would not reach the machine and so would not renew its lease. But recording the reply would
   // postpone the time at which the lease is known to have expired.
   if (machine->acknowledgements.unreachable()) return router_.refuse(request);
@@ -18,7 +18,7 @@
   if (is_trusted(shard, heartbeat) && machine->liveness.is_newer_status(heartbeat))
     reply.commands = reply_to_status(shard, *machine, heartbeat, previous_reply_at);
   else
-    reply.commands = reply_to_untrusted(shard, *machine, heartbeat);
+    reply.commands = reply_to_untrusted_status(shard, *machine, heartbeat);
   commands_.log(shard, *machine, reply.commands, heartbeat.sequence_number);
   state_.context.act(AnswerHeartbeat{request, std::move(reply)});
 }
@@ -43,10 +43,10 @@
 
 /// Adds evidence if a heartbeat was sent well after a fencing token of this leadership term was, but does not
 /// show it: the token did not arrive.
-void Fleet::judge_unacknowledged_token(Shard& shard, Machine& machine, const Heartbeat& heartbeat) {
+void Fleet::check_token_acknowledgement(Shard& shard, Machine& machine, const Heartbeat& heartbeat) {
   Acknowledgements& acknowledgements = machine.acknowledgements;
   const std::optional<Micros> token_sent_at = acknowledgements.token_sent_at();
-  if (is_trusted(shard, heartbeat) || !token_sent_at || !failures_.sent_after(*token_sent_at))
+  if (is_trusted(shard, heartbeat) || !token_sent_at || !failures_.sent_after_delivery_of(*token_sent_at))
     return;
   FailureDetector::add_missed_acknowledgement(shard, machine, Acknowledgements::kStrongEvidence);
   acknowledgements.restart_token_wait(state_.now());
@@ -54,10 +54,10 @@
 
 std::vector<Command> Fleet::reply_to_status(Shard& shard, Machine& machine, const Heartbeat& heartbeat,
                                             Micros previous_reply_at) {
-  judge_short_incarnation(shard, machine, heartbeat, previous_reply_at);
+  check_early_incarnation(shard, machine, heartbeat, previous_reply_at);
   apply_status(shard, machine, heartbeat, StatusSource::heartbeat);
   machine.liveness.heartbeat_sequence_number = heartbeat.sequence_number;
-  hooks_.fill(shard, machine);
+  hooks_.place_waiting_tasks(shard, machine);
   std::vector<Command> commands = commands_.commands_for(shard, machine, heartbeat.sequence_number);
   machine.acknowledgements.reply_sent(heartbeat.sequence_number, shard.fencing_token, state_.now());
   return commands;
@@ -65,18 +65,18 @@
 
 /// Adds evidence if a new incarnation began although the last reply should have renewed the lease of the old
 /// one: the reply did not arrive.
-void Fleet::judge_short_incarnation(Shard& shard, Machine& machine, const Heartbeat& heartbeat,
+void Fleet::check_early_incarnation(Shard& shard, Machine& machine, const Heartbeat& heartbeat,
                                     Micros previous_reply_at) {
   const Liveness& liveness = machine.liveness;
   const bool lease_ran_out =
       heartbeat.incarnation > liveness.incarnation && liveness.status_received && !liveness.lease_expired;
   const bool should_have_lasted =
       state_.now() - previous_reply_at < state_.context.settings.worker_lease * 3 / 4;
-  if (lease_ran_out && should_have_lasted && failures_.sent_after(previous_reply_at))
+  if (lease_ran_out && should_have_lasted && failures_.sent_after_delivery_of(previous_reply_at))
     FailureDetector::add_missed_acknowledgement(shard, machine, Acknowledgements::kStrongEvidence);
 }
 
-std::vector<Command> Fleet::reply_to_untrusted(Shard& shard, Machine& machine,
+std::vector<Command> Fleet::reply_to_untrusted_status(Shard& shard, Machine& machine,
                                                       const Heartbeat& heartbeat) {
   if (!machine.reconciled) {
     machine.address = heartbeat.address;
--- a/src/core/workers/fleet_statuses.cpp
+++ b/src/core/workers/fleet_statuses.cpp
@@ -32,7 +32,7 @@
   apply_fencing_token(machine, status.fencing_token);
   if (source == StatusSource::heartbeat) {
     release_absent_tasks(shard, machine, status.sequence_number);
-    judge_reply_effect(shard, machine, effect);
+    check_reply_effect(shard, machine, effect);
   }
   shard.set_reconciled(machine, true);
   if (!machine.idle()) machine.idle_since = state_.now();
@@ -109,11 +109,11 @@
   for (const AttemptId& id : absent) tasks_.release(shard, machine, id);
 }
 
-void Fleet::judge_reply_effect(Shard& shard, Machine& machine, const ReplyEffect& effect) const {
+void Fleet::check_reply_effect(Shard& shard, Machine& machine, const ReplyEffect& effect) const {
   if (!effect.expected) return;
   if (effect.seen)
     machine.acknowledgements.clear_missed();
-  else if (failures_.sent_after(machine.acknowledgements.reply_sent_at()))
+  else if (failures_.sent_after_delivery_of(machine.acknowledgements.reply_sent_at()))
     FailureDetector::add_missed_acknowledgement(shard, machine, Acknowledgements::kWeakEvidence);
   machine.acknowledgements.forget_reply();
 }
