--- a/src/core/ownership/machine_ownership.cpp
+++ b/src/core/ownership/machine_ownership.cpp
@@ -4,9 +4,10 @@
 
 namespace {
 
-constexpr std::size_t kMaxTrailingDigits = 18;  ///< that surely fit in 64 bits
+constexpr std::size_t kMaxTrailingDigits = 18;  ///< any 18 digits fit in 64 bits
 
-/// The number at the end of a name, which spreads machines evenly.
+/// Returns the number at the end of a machine name, or the length of the name if there is none. Consecutive
+/// numbers spread the machines evenly over the shards.
 std::uint64_t trailing_number(const std::string& name) {
   std::size_t begin = name.size();
   while (begin > 0 && name.size() - begin < kMaxTrailingDigits && name[begin - 1] >= '0' &&
@@ -15,7 +16,7 @@
   return begin == name.size() ? name.size() : std::stoull(name.substr(begin));
 }
 
-/// The block that a key names, if it is one of the shard.
+/// Returns the number of the block that a key identifies; none if it is not a block of the shard.
 std::optional<std::uint32_t> block_of(const std::string& key, const std::string& shard) {
   const auto pieces = records::split_key(key);
   if (pieces.size() != 3 || pieces[1] != shard) return std::nullopt;
@@ -73,8 +74,9 @@
 
 // ---- reading ---------------------------------------------------------------------------------------
 
-/// The records of home shards come first in key order: they are at most older than the blocks read with them,
-/// and then the next write fails.
+/// Replaces the known owners and home shard revisions. The records of home shards come first in key order.
+/// They may therefore be older than the blocks listed with them, but never newer. If they are older, the next
+/// write fails its compare.
 void MachineOwnership::apply_records(const std::vector<KeyValue>& entries) {
   home_shard_revisions_.clear();
   shard_of_.clear();
@@ -88,7 +90,8 @@
     if (auto owned_machines = records::owned_machines(entry.value))
       for (const records::OwnedMachine& owned : *owned_machines) shard_of_[owned.name] = key[1];
   }
-  // Of the shards led here more is known: machines that were added or removed since, or not written yet.
+  // The state of the shards led here is newer than their records: machines may have been added or removed
+  // since the read, or may not be written yet.
   for (auto& [name, shard] : state_.shards) {
     if (!shard.ready()) continue;
     const std::string& led_here = name;
@@ -130,14 +133,15 @@
     return;
   }
   for (auto& [name, shard] : state_.shards)
-    if (shard.ready()) settle_unknown_writes(shard, response.entries);
+    if (shard.ready()) resolve_unknown_writes(shard, response.entries);
   apply_records(response.entries);
   drop_satisfied_requests();
   hooks_.on_reloaded();
 }
 
-/// Writes of ours without an answer may have been made after all: they show in the blocks of the shard.
-void MachineOwnership::settle_unknown_writes(Shard& shard, const std::vector<KeyValue>& entries) const {
+/// Resolves the writes of this process whose outcome is unknown. The blocks in the store show whether they
+/// were applied.
+void MachineOwnership::resolve_unknown_writes(Shard& shard, const std::vector<KeyValue>& entries) const {
   for (const KeyValue& entry : entries) {
     const auto number = block_of(entry.key, shard.name);
     if (!number) continue;
@@ -147,11 +151,11 @@
     else if (std::exchange(block->second.outcome_unknown, false))
       block->second.revision = entry.revision;
   }
-  // Such a block that is not there is no more: its removal was made.
+  // A block whose outcome is still unknown is not in the store: its removal was applied.
   std::erase_if(shard.ownership_blocks, [](const auto& block) { return block.second.outcome_unknown; });
 }
 
-/// Machines that turn out to be owned need no longer be asked for.
+/// Drops the requests for machines that are now known to be owned.
 void MachineOwnership::drop_satisfied_requests() {
   for (auto& [shard, machines] : requested_)
     std::erase_if(machines, [&](const Machine& machine) {
--- a/src/core/ownership/machine_ownership.h
+++ b/src/core/ownership/machine_ownership.h
@@ -1,16 +1,17 @@
-// Which shard each machine belongs to. An ownership record is written before the machine is put to any use,
-// and no machine is ever owned by two shards.
+// Records which shard owns each machine. An ownership record is written before the machine is used, and no
+// machine is ever owned by two shards.
 //
-// Ownership is recorded in blocks, several machines in one record. What keeps two shards from owning one
-// machine is the record of its home shard (home_shard): every write that adds the machine to a block rewrites
-// it, on condition that nobody did since the ownership records were last read. So machines of one home are
-// added one write after the other, each in the knowledge of all before it.
+// Ownership is recorded in blocks: one record lists several machines. The record of a machine's home shard
+// (see home_shard()) prevents two shards from owning the same machine. Every write that adds a machine to a
+// block also rewrites the record of its home shard, on condition that this record has not changed since the
+// ownership records were last read. Machines with the same home shard are therefore added by consecutive
+// writes, each of which is based on all previous ones.
 //
-// A block names a machine's address once the machine is up and about to be used. Nothing is started on a
-// machine before that is written; so the next leader of a shard knows that nothing can be on the others
-// (those still booting), and where the ones that were used can be reached at once.
+// A block contains a machine's address once the machine is up and about to be used. No task is started on a
+// machine before the address is written. The next leader of the shard therefore knows that no task can be on
+// machines without an address (those still booting), and can contact the machines in use immediately.
 //
-// All times are of the steady clock.
+// All times are on the steady clock.
 #pragma once
 
 #include <deque>
@@ -22,56 +23,59 @@
 class MachineOwnership {
  public:
   struct Hooks {
-    /// A machine is owned by the shard. `reconciled`: nobody can have used it before.
+    /// Called for each machine that the shard owns. `reconciled` means that no unknown task can be on it.
     std::function<void(Shard&, const Machine&, bool reconciled)> on_owned;
-    std::function<void()> on_reloaded;        ///< owners have become known
-    std::function<void()> invalidate_leases;  ///< read the lease records again
+    std::function<void()> on_reloaded;        ///< called when more owners are known
+    std::function<void()> invalidate_leases;  ///< requests that the lease records be read again
   };
   MachineOwnership(ControllerState& state, Hooks hooks) : state_(state), hooks_(std::move(hooks)) {}
 
   /// Starts the reads and writes that are due.
   void tick();
-  /// Asks for a machine that no shard is known to own: one of the next writes adds it to the shard.
+  /// Requests ownership of a machine that no shard is known to own. A later write adds it to the shard.
   void request(Shard& shard, Machine machine);
-  /// A machine of the shard is up: its block has to name its address.
+  /// Schedules the write of the address of a machine that is up to its block.
   void on_machine_up(Shard& shard, const Machine& machine);
-  /// A machine of the shard is gone.
+  /// Removes a deleted machine, and schedules the rewrite of its block.
   void remove(Shard& shard, const Machine& machine);
-  /// Has all ownership records read again soon.
+  /// Schedules a read of all ownership records.
   void invalidate() { invalidated_ = true; }
-  /// Takes all ownership records, as read for a shard that is being loaded, and adds its machines.
+  /// Applies all ownership records, as read for a shard that is being loaded, and adds the machines of the
+  /// shard.
   void load(Shard& shard, const std::vector<KeyValue>& entries);
+  /// Drops the ownership requests of a shard that this controller no longer leads.
   void on_shard_lost(const std::string& shard);
 
-  /// The shard that owns a machine, as far as known; null if none does.
+  /// Returns the shard that is known to own the machine; null if none is.
   const std::string* shard_of(const std::string& machine) const {
     const auto found = shard_of_.find(machine);
     return found == shard_of_.end() ? nullptr : &found->second;
   }
-  /// The shard that is to own a machine which no shard owns yet: one whose controller is in its zone, if any.
+  /// Returns the shard that should own a machine which no shard owns yet. It is a shard whose controller is
+  /// in the zone of the machine, if there is one.
   std::string home_shard(const std::string& machine, const std::string& zone) const;
 
  private:
-  /// A new block whose write is under way.
+  /// A new block whose write is in flight.
   struct NewBlock {
     std::string shard;
     LeadershipTerm leadership_term = 0;
     std::uint32_t number = 0;
     std::vector<Machine> machines;
-    std::set<std::string> homes;  ///< the home shards whose records are rewritten with it
+    std::set<std::string> homes;  ///< the home shards whose records the same write updates
   };
-  /// Blocks that are being written anew, in one transaction.
+  /// Blocks that are rewritten in one transaction.
   struct BlockRewrite {
     struct Block {
       std::uint32_t number = 0;
-      bool removed = false;                  ///< no machine of it was left
-      std::vector<std::string> addressable;  ///< machines whose address it names
+      bool removed = false;                  ///< the block has no machine left, and its record is removed
+      std::vector<std::string> addressable;  ///< machines whose address the block contains
     };
     std::string shard;
     LeadershipTerm leadership_term = 0;
     std::vector<Block> blocks;
   };
-  /// When and how blocks of some urgency are written anew.
+  /// When blocks of at least a given urgency are rewritten, and with which priority.
   struct RewriteSchedule {
     OwnershipBlock::Rewrite least_urgency;
     Micros interval;
@@ -83,7 +87,7 @@
   void add_block(Shard& shard, std::uint32_t number, const KeyValue& entry, bool reconciled) const;
   void reload();
   void on_reloaded(const StoreResponse& response);
-  void settle_unknown_writes(Shard& shard, const std::vector<KeyValue>& entries) const;
+  void resolve_unknown_writes(Shard& shard, const std::vector<KeyValue>& entries) const;
   void drop_satisfied_requests();
 
   void write_new_block(Shard& shard);
@@ -98,12 +102,13 @@
 
   static constexpr Micros kReloadInterval = seconds(1);
   static constexpr Micros kRewriteInterval = seconds(2);
-  static constexpr Micros kUrgentRewriteInterval = millis(400);  ///< machines that come up share a write
+  /// Lets several machines that become ready share one write.
+  static constexpr Micros kUrgentRewriteInterval = millis(400);
 
   ControllerState& state_;
   Hooks hooks_;
   std::map<std::string, std::string> shard_of_;           ///< machine -> shard
-  std::map<std::string, Revision> home_shard_revisions_;  ///< as read together with shard_of_
+  std::map<std::string, Revision> home_shard_revisions_;  ///< read together with shard_of_
   std::map<std::string, std::deque<Machine>> requested_;  ///< by shard
   std::set<std::string> requested_names_;
   bool writing_new_block_ = false;
--- a/src/core/ownership/machine_ownership_writes.cpp
+++ b/src/core/ownership/machine_ownership_writes.cpp
@@ -1,4 +1,4 @@
-// The writes of ownership records: new blocks, and blocks written anew.
+// Writes ownership records: new blocks and rewrites of existing blocks.
 #include "core/ownership/machine_ownership.h"
 
 namespace bendtide {
@@ -38,7 +38,7 @@
                       });
 }
 
-/// Takes as many requested machines as fit in one record.
+/// Removes from the requests as many machines as fit in one record, and returns them as a new block.
 MachineOwnership::NewBlock MachineOwnership::take_requested(const Shard& shard,
                                                             std::deque<Machine>& requested) const {
   NewBlock block{shard.name, shard.leadership_term, 0, {}, {}};
@@ -65,18 +65,19 @@
     requested_names_.erase(machine.name);
     shard_of_[machine.name] = block.shard;
     machine.ownership_block = block.number;
-    // Nobody used these machines before they were owned: nothing unknown can be on them.
+    // A machine is not used before it is owned, so no unknown task can be on it.
     if (shard != nullptr) hooks_.on_owned(*shard, machine, true);
   }
   if (shard != nullptr) shard->ownership_blocks[block.number].revision = response.revision;
   hooks_.on_reloaded();
 }
 
-/// The machines are asked for again, if their shard is still led here.
+/// Requests the machines again if this controller has led their shard without interruption.
 void MachineOwnership::on_new_block_failed(const NewBlock& block, const StoreResponse& response) {
   const bool still_led = state_.shard_in_term(block.shard, block.leadership_term) != nullptr;
   if (response.outcome == Outcome::conflict) hooks_.invalidate_leases();
-  // Another shard wrote meanwhile, or our own write was made without an answer: read, then try again.
+  // Another shard wrote in the meantime, or the outcome of this write is unknown: the records must be read
+  // again before the next attempt.
   if (response.outcome != Outcome::refused) invalidate();
   for (const Machine& machine : block.machines) {
     if (still_led)
@@ -86,7 +87,7 @@
   }
 }
 
-// ---- blocks written anew ---------------------------------------------------------------------------
+// ---- rewrites of blocks ---------------------------------------------------------------------------
 
 std::vector<records::OwnedMachine> MachineOwnership::machines_of(const Shard& shard, std::uint32_t block) {
   std::vector<records::OwnedMachine> owned;
@@ -95,7 +96,7 @@
   return owned;
 }
 
-/// Blocks without any machine left are removed.
+/// Rewrites up to kBlocksPerWrite blocks in one transaction. Removes blocks that have no machine left.
 void MachineOwnership::rewrite_blocks(Shard& shard, RewriteSchedule& schedule) {
   Transaction transaction;
   transaction.compares = {state_.fenced_by(shard)};
