--- a/src/core/kvstore/key_value_client.cpp
+++ b/src/core/kvstore/key_value_client.cpp
@@ -6,17 +6,18 @@
 
 namespace {
 
-/// Each controller keeps a little below an equal share: the others' clocks drift against ours.
+/// Each controller stays slightly below an equal share of the rate, because the clocks of controllers drift
+/// against each other.
 constexpr double kRateMargin = 0.9;
-constexpr double kBurstSpan = 0.5;     ///< seconds of an equal share that may be sent at once
-constexpr double kRequestBurst = 2.0;  ///< requests that may be sent at once, at least
+constexpr double kBurstSeconds = 0.5;     ///< seconds of an equal share that may be sent in one burst
+constexpr double kMinRequestBurst = 2.0;  ///< the smallest burst of requests
 
 double rate_share(double per_second, const Settings& settings) {
   return kRateMargin * per_second / static_cast<double>(settings.controllers());
 }
 
 double burst(double per_second, const Settings& settings) {
-  return kBurstSpan * per_second / static_cast<double>(settings.controllers());
+  return kBurstSeconds * per_second / static_cast<double>(settings.controllers());
 }
 
 }  // namespace
@@ -26,7 +27,7 @@
       write_burst_(std::max(static_cast<double>(context.settings.store_transaction_writes),
                             burst(context.settings.store_writes_per_s, context.settings))),
       requests_(rate_share(context.settings.store_requests_per_s, context.settings),
-                std::max(kRequestBurst, burst(context.settings.store_requests_per_s, context.settings))),
+                std::max(kMinRequestBurst, burst(context.settings.store_requests_per_s, context.settings))),
       writes_(rate_share(context.settings.store_writes_per_s, context.settings), write_burst_) {}
 
 void KeyValueClient::get(std::string key, Callback callback) {
@@ -69,7 +70,7 @@
 }
 
 void KeyValueClient::enqueue(Queue& queue, StoreRequest request, Callback callback) {
-  // While the key-value store is failing, more than a few requests would only wait for their time-outs.
+  // While the key-value store is failing, a longer queue would only contain requests that wait for a timeout.
   if (queue.size() >= (failing() ? kInFlightLimit : kQueueLimit)) {
     StoreResponse refused;
     refused.outcome = StoreResponse::Outcome::refused;
@@ -94,8 +95,8 @@
 }
 
 void KeyValueClient::send_queued() {
-  // A transaction that the budget does not allow yet holds back those of lower priority, but no reads. Lower
-  // priorities leave a part of the budget for a burst of higher ones.
+  // A transaction that exceeds the current budget delays transactions of lower priority, but not reads. Lower
+  // priorities leave part of the budget for a burst of transactions of higher priority.
   auto& [high, normal, low] = transactions_;
   const double normal_reserve = write_burst_ / 8;
   const double low_reserve = write_burst_ / 3;
@@ -129,12 +130,12 @@
         .detail("response", describe(response))
         .detail("request", in_flight.description);
   });
-  note_outcome(response.outcome);
+  record_outcome(response.outcome);
   in_flight.callback(response);
   send_queued();
 }
 
-void KeyValueClient::note_outcome(StoreResponse::Outcome outcome) {
+void KeyValueClient::record_outcome(StoreResponse::Outcome outcome) {
   switch (outcome) {
     case StoreResponse::Outcome::ok:
     case StoreResponse::Outcome::absent:
--- a/src/core/kvstore/key_value_client.h
+++ b/src/core/kvstore/key_value_client.h
@@ -1,4 +1,4 @@
-// The core's client of the key-value store.
+// The client through which the core accesses the key-value store.
 #pragma once
 
 #include <array>
@@ -11,17 +11,18 @@
 
 namespace bendtide {
 
-/// Which transactions go first when the budget is short.
+/// The order in which transactions are sent when the rate budget is short.
 enum class RequestPriority : std::uint8_t {
-  high,    ///< users wait for it
-  normal,  ///< work goes on with it
-  low      ///< it can wait
+  high,    ///< a user waits for the response
+  normal,  ///< regular work depends on it
+  low      ///< may be delayed
 };
 
-/// Sends requests to the key-value store within this controller's share of the published rates, queues what
-/// exceeds them, and hands each response to the callback of its request. A callback is called exactly once
-/// for each request, unless the shell never delivers a response. It may be called at once: a request that
-/// finds its queue full is answered with StoreResponse::Outcome::refused. All times are on the steady clock.
+/// Sends requests to the key-value store within this controller's share of the published rate limits, queues
+/// the requests that exceed it, and passes each response to the callback of its request. A callback is called
+/// exactly once for each request, unless the shell never delivers a response. It may be called before the
+/// requesting function returns: a request whose queue is full gets StoreResponse::Outcome::refused
+/// immediately. All times are on the steady clock.
 class KeyValueClient {
  public:
   using Callback = std::function<void(const StoreResponse&)>;
@@ -30,25 +31,27 @@
 
   /// Reads one key.
   void get(std::string key, Callback callback);
-  /// Reads all entries under a prefix, page after page. If one page fails, its response is that of the list.
+  /// Reads all entries under a prefix, page by page. If a page fails, the callback receives the response to
+  /// that page.
   void list(std::string prefix, Callback callback);
-  /// Carries out all writes of a transaction if all its compares hold, or none.
+  /// Executes all writes of a transaction if all its compares hold, and none otherwise.
   void commit(Transaction transaction, Callback callback, RequestPriority priority = RequestPriority::normal);
-  /// Lease requests are never queued, and are sent whatever the budget.
+  /// Lease requests are never queued and do not count against the rate budget.
   void grant_lease(Micros term, Callback callback);
   void renew_lease(StoreLeaseId lease, Callback callback);
 
-  /// The response to the request that was sent as StoreCall `call`. Ignored if there is no such request.
+  /// Handles the response to the request that was sent as StoreCall `call`. Ignored if there is no such
+  /// request.
   void on_response(std::uint64_t call, const StoreResponse& response);
-  /// Sends as much from the queues as the budget allows now.
+  /// Sends as many queued requests as the rate budget and the in-flight limit allow now.
   void send_queued();
-  /// Whether so much is queued that what can wait should not be requested.
+  /// Returns whether the queues are so long that requests which can wait should not be made.
   bool busy() const {
     return reads_.size() + transactions_[0].size() + transactions_[1].size() > kQueueLimit / 4;
   }
-  /// Whether requests have been failing for a while, with none executed since.
+  /// Returns whether all requests have failed for longer than kFailingAfter.
   bool failing() const { return failing_since_ && context_.now - *failing_since_ > kFailingAfter; }
-  /// Whether the last response showed that the key-value store works.
+  /// Returns whether the last response came from a working key-value store.
   bool responsive() const { return !failing_since_ && last_success_ != Micros{0}; }
 
  private:
@@ -60,16 +63,16 @@
   struct InFlight {
     Callback callback;
     Micros sent_at{0};
-    std::string description;  ///< for the log; empty unless debug lines are written
+    std::string description;  ///< for the log; empty unless debug logging is enabled
   };
 
   void enqueue(Queue& queue, StoreRequest request, Callback callback);
-  /// Sends the first request of a queue if the budget allows that and leaves `reserve` writes. Whether it
-  /// did.
+  /// Sends the first request of a queue if the budget allows it and a reserve of `reserve` writes remains.
+  /// Returns whether the request was sent.
   bool send_next(Queue& queue, double reserve);
   void send(Pending pending);
   void list_page(std::string prefix, std::string after, std::vector<KeyValue> entries, Callback callback);
-  void note_outcome(StoreResponse::Outcome outcome);
+  void record_outcome(StoreResponse::Outcome outcome);
 
   static constexpr std::size_t kQueueLimit = 256;
   static constexpr Micros kFailingAfter = seconds(2);
@@ -83,7 +86,7 @@
   std::array<Queue, 3> transactions_;  ///< by RequestPriority
   std::unordered_map<std::uint64_t, InFlight> in_flight_;
   std::uint64_t next_call_ = 1;
-  Micros last_success_{0};  ///< 0: none yet
+  Micros last_success_{0};  ///< 0 if no request has succeeded yet
   std::optional<Micros> failing_since_;
 };
 
