--- a/src/core/kvstore/request_description.cpp
+++ b/src/core/kvstore/request_description.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-constexpr std::size_t kEntryLimit = 4;  ///< a response with more entries is described by their number
+constexpr std::size_t kMaxDescribedEntries = 4;  ///< for longer responses only the number of entries is given
 
 struct RequestDescriber {
   std::string operator()(const GetKey& get) const { return "get " + get.key; }
@@ -49,7 +49,7 @@
   for (const std::string& key : response.failed) text += " " + key;
   if (response.revision != 0) text += ", revision " + to_string(response.revision);
   if (response.lease != 0) text += ", lease " + to_string(response.lease);
-  if (response.entries.size() > kEntryLimit)
+  if (response.entries.size() > kMaxDescribedEntries)
     return text + ", " + std::to_string(response.entries.size()) + " entries";
   for (const KeyValue& entry : response.entries) text += ", " + entry.key + "@" + to_string(entry.revision);
   return text;
--- a/src/core/kvstore/request_description.h
+++ b/src/core/kvstore/request_description.h
@@ -1,4 +1,4 @@
-// Requests to the key-value store and its responses as text, for the log.
+// Describes requests to the key-value store and their responses as text for the log.
 #pragma once
 
 #include <string>
@@ -7,10 +7,11 @@
 
 namespace bendtide {
 
-/// The keys of a request, which carry the ids of jobs and the names of shards, and the expected revisions.
+/// Returns the keys of a request, which contain job IDs and shard names, and the expected revisions.
 std::string describe(const StoreRequest& request);
 
-/// The outcome of a response, and the keys and revisions in it, as long as they are few.
+/// Returns the outcome of a response, its conflicting keys, its revision and its lease. The key and revision
+/// of each entry follow if there are at most four entries, and otherwise only the number of entries.
 std::string describe(const StoreResponse& response);
 
 }  // namespace bendtide
