--- a/src/core/leases/shard_leases.cpp
+++ b/src/core/leases/shard_leases.cpp
@@ -111,7 +111,7 @@
   if (shard.token_advance.in_flight()) return;
   const std::optional<records::LeaseRecord> record = lease_record_in(entry);
   if (!record || !is_written_by_this_process(state_, *record))
-    return lose_shard(name, "its lease record was not written by this process");
+    return lose_shard(name, "its lease record is missing or was written by another process");
   // A write of this process whose response was lost may have been applied late. A record of this process is
   // therefore valid at any revision.
   shard.fencing_token = std::max(shard.fencing_token, fencing_token_of(entry->revision));
