--- a/lab/controllers.cpp
+++ b/lab/controllers.cpp
@@ -19,7 +19,7 @@
 constexpr double kMillicpusPerCpu = 1000;
 
 std::size_t link_index(int from, int to) {
-  return static_cast<std::size_t>(from) * kControllers + static_cast<std::size_t>(to);
+  return static_cast<std::size_t>(from) * kControllerCount + static_cast<std::size_t>(to);
 }
 
 /// In the child process: executes the controller, with its log appended to a file. It is killed when the
@@ -37,9 +37,9 @@
 }  // namespace
 
 Controllers::Controllers(Laboratory& lab) : lab_(lab) {
-  for (int from = 0; from < kControllers; ++from) {
+  for (int from = 0; from < kControllerCount; ++from) {
     write_settings(from);
-    for (int to = 0; to < kControllers; ++to)
+    for (int to = 0; to < kControllerCount; ++to)
       if (from != to)
         links_.at(link_index(from, to)) =
             std::make_unique<LinkProxy>(lab.loop, lab.address(Laboratory::peer_link_port(from, to)),
@@ -48,42 +48,42 @@
 }
 
 Controllers::~Controllers() {
-  for (int i = 0; i < kControllers; ++i) kill(i);
+  for (int i = 0; i < kControllerCount; ++i) kill(i);
 }
 
 void Controllers::run() {
   for (const auto& link : links_)
     if (link) lab_.loop.spawn(link->run());
-  for (int i = 0; i < kControllers; ++i) start(i);
+  for (int i = 0; i < kControllerCount; ++i) start(i);
   lab_.loop.spawn(watch());
 }
 
 LinkProxy& Controllers::link(int from, int to) { return *links_.at(link_index(from, to)); }
 
 std::string Controllers::settings_file(int controller) const {
-  return lab_.plan.directory + "/" + Laboratory::host(controller) + ".toml";
+  return lab_.plan.directory + "/" + Laboratory::host_name(controller) + ".toml";
 }
 
 std::string Controllers::log_file(int controller) const {
-  return lab_.plan.directory + "/" + Laboratory::host(controller) + ".log";
+  return lab_.plan.directory + "/" + Laboratory::host_name(controller) + ".log";
 }
 
 void Controllers::write_settings(int controller) const {
   const Settings& settings = lab_.settings;
   const double limit_factor = lab_.plan.planted_defect == PlantedDefect::exceed_limits ? 10 : 1;
   std::ofstream out(settings_file(controller));
-  out << "host_name = \"" << Laboratory::host(controller) << "\"\n"
+  out << "host_name = \"" << Laboratory::host_name(controller) << "\"\n"
       << "domain = \"" << Laboratory::zone(controller) << "\"\n"
       << "api_addr = \"" << lab_.address(Laboratory::user_port(controller)) << "\"\n"
       << "internal_addr = \"" << lab_.address(Laboratory::internal_port(controller)) << "\"\n";
-  for (int peer = 0; peer < kControllers; ++peer)
+  for (int peer = 0; peer < kControllerCount; ++peer)
     if (peer != controller)
-      out << "[[known]]\nhost_name = \"" << Laboratory::host(peer) << "\"\ndomain = \""
+      out << "[[known]]\nhost_name = \"" << Laboratory::host_name(peer) << "\"\ndomain = \""
           << Laboratory::zone(peer) << "\"\nendpoint = \""
           << lab_.address(Laboratory::peer_link_port(controller, peer)) << "\"\n";
   out << "[external]\ncloud = \"" << lab_.address(Laboratory::cloud_port()) << "\"\nstate = \""
       << lab_.address(Laboratory::store_link_port(controller)) << "\"\n"
-      << "[settings]\nsize = " << kControllers << "\nzones = [\"east\", \"west\"]\n";
+      << "[settings]\nsize = " << kControllerCount << "\nzones = [\"east\", \"west\"]\n";
   for (const Team& team : settings.teams)
     out << "[[settings.teams]]\nname = \"" << team.name
         << "\"\ncpus = " << static_cast<double>(team.guarantee.cpu) / kMillicpusPerCpu
@@ -107,7 +107,7 @@
   if (pid == 0) exec_controller(lab_.plan.program, settings_file(controller), log_file(controller));
   if (pid < 0) throw std::runtime_error("a controller can't be started");
   at(controller) = {pid, false};
-  lab_.history.add(Laboratory::host(controller) + ": is started");
+  lab_.history.add(Laboratory::host_name(controller) + ": is started");
 }
 
 void Controllers::kill(int controller) {
@@ -116,7 +116,7 @@
   ::kill(process.pid, SIGKILL);
   ::waitpid(process.pid, nullptr, 0);
   process = {};
-  lab_.history.add(Laboratory::host(controller) + ": is killed");
+  lab_.history.add(Laboratory::host_name(controller) + ": is killed");
 }
 
 void Controllers::pause(int controller) {
@@ -124,7 +124,7 @@
   if (process.pid <= 0 || process.paused) return;
   ::kill(process.pid, SIGSTOP);
   process.paused = true;
-  lab_.history.add(Laboratory::host(controller) + ": is paused");
+  lab_.history.add(Laboratory::host_name(controller) + ": is paused");
 }
 
 void Controllers::resume(int controller) {
@@ -132,17 +132,17 @@
   if (process.pid <= 0 || !process.paused) return;
   ::kill(process.pid, SIGCONT);
   process.paused = false;
-  lab_.history.add(Laboratory::host(controller) + ": is resumed");
+  lab_.history.add(Laboratory::host_name(controller) + ": is resumed");
 }
 
 io::Task<> Controllers::watch() {
   while (!lab_.closing) {
-    for (int i = 0; i < kControllers; ++i) {
+    for (int i = 0; i < kControllerCount; ++i) {
       Process& process = at(i);
       if (process.pid <= 0 || ::waitpid(process.pid, nullptr, WNOHANG) != process.pid) continue;
       process = {};
       ++unexpected_ends_;
-      lab_.history.add(Laboratory::host(i) + ": has ended unexpectedly");
+      lab_.history.add(Laboratory::host_name(i) + ": has ended unexpectedly");
       start(i);
     }
     co_await lab_.loop.sleep(kWatchEvery);
@@ -150,7 +150,7 @@
 }
 
 std::vector<std::string> Controllers::errors(int controller) const {
-  const std::string level = " " + Laboratory::host(controller) + " error ";
+  const std::string level = " " + Laboratory::host_name(controller) + " error ";
   std::vector<std::string> out;
   std::ifstream log(log_file(controller));
   for (std::string line; std::getline(log, line);)
--- a/lab/controllers.h
+++ b/lab/controllers.h
@@ -12,7 +12,7 @@
 
 namespace bendtide::lab {
 
-/// Restarts a controller that ended unexpectedly. Controllers are numbered from 0 to kControllers - 1.
+/// Restarts a controller that ended unexpectedly. Controllers are numbered from 0 to kControllerCount - 1.
 class Controllers {
  public:
   explicit Controllers(Laboratory& lab);
@@ -50,8 +50,8 @@
   io::Task<> watch();
 
   Laboratory& lab_;
-  std::array<Process, kControllers> processes_{};
-  std::array<std::unique_ptr<LinkProxy>, kControllers * kControllers> links_;
+  std::array<Process, kControllerCount> processes_{};
+  std::array<std::unique_ptr<LinkProxy>, kControllerCount * kControllerCount> links_;
   int unexpected_ends_ = 0;
 };
 
--- a/lab/fault_injector.cpp
+++ b/lab/fault_injector.cpp
@@ -53,14 +53,14 @@
 
 void FaultInjector::run() {
   set_store_latency(kShareOfSlowAnswers, kSlowAnswerSeconds);
-  if (lab_.plan.faults) lab_.loop.spawn(inject_at_random());
+  if (lab_.plan.inject_faults) lab_.loop.spawn(inject_at_random());
 }
 
 io::Task<> FaultInjector::inject_at_random() {
   co_await lab_.loop.sleep(kFirstFaultAt);
-  while (lab_.now() < lab_.plan.faults_for) {
-    inject(faults().at(static_cast<std::size_t>(lab_.pick(static_cast<int>(faults().size())))));
-    co_await lab_.loop.sleep(lab_.between(kMinPauseSeconds, kMaxPauseSeconds));
+  while (lab_.now() < lab_.plan.fault_phase) {
+    inject(faults().at(static_cast<std::size_t>(lab_.random_index(static_cast<int>(faults().size())))));
+    co_await lab_.loop.sleep(lab_.random_duration(kMinPauseSeconds, kMaxPauseSeconds));
   }
   // What still lasts ends by itself; machines that were lost stay so.
   lab_.history.add("injector: the last fault was injected");
@@ -82,8 +82,8 @@
 }
 
 Micros FaultInjector::draw(const Duration& duration) {
-  const bool brief = duration.share_of_brief > 0 && lab_.chance() < duration.share_of_brief;
-  return lab_.between(duration.min, brief ? kBriefSeconds : duration.max);
+  const bool brief = duration.share_of_brief > 0 && lab_.random_fraction() < duration.share_of_brief;
+  return lab_.random_duration(duration.min, brief ? kBriefSeconds : duration.max);
 }
 
 // ---- controllers ---------------------------------------------------------------------------------
@@ -98,18 +98,19 @@
 }
 
 std::vector<FaultInjector::Switch> FaultInjector::kill_one() {
-  return {running_switch(lab_.any_controller())};
+  return {running_switch(lab_.random_controller())};
 }
 
 std::vector<FaultInjector::Switch> FaultInjector::kill_all() {
   std::vector<Switch> all;
-  all.reserve(kControllers);
-  for (int controller = 0; controller < kControllers; ++controller) all.push_back(running_switch(controller));
+  all.reserve(kControllerCount);
+  for (int controller = 0; controller < kControllerCount; ++controller)
+    all.push_back(running_switch(controller));
   return all;
 }
 
 std::vector<FaultInjector::Switch> FaultInjector::pause_one() {
-  return {[this, controller = lab_.any_controller()](bool on) {
+  return {[this, controller = lab_.random_controller()](bool on) {
     if (on)
       controllers_.pause(controller);
     else
@@ -118,24 +119,24 @@
 }
 
 std::vector<FaultInjector::Switch> FaultInjector::hold_peer_messages() {
-  const int from = lab_.any_controller();
-  const int to = (from + 1 + lab_.pick(kControllers - 1)) % kControllers;
+  const int from = lab_.random_controller();
+  const int to = (from + 1 + lab_.random_index(kControllerCount - 1)) % kControllerCount;
   return {[this, from, to](bool on) { controllers_.link(from, to).to_server.held = on; }};
 }
 
 std::vector<FaultInjector::Switch> FaultInjector::refuse_peers() {
   return {[this](bool on) {
-    for (int from = 0; from < kControllers; ++from)
-      for (int to = 0; to < kControllers; ++to)
+    for (int from = 0; from < kControllerCount; ++from)
+      for (int to = 0; to < kControllerCount; ++to)
         if (from != to) controllers_.link(from, to).refuses = on;
   }};
 }
 
 std::vector<FaultInjector::Switch> FaultInjector::isolate_with_workers() {
-  return {[this, controller = lab_.any_controller()](bool on) {
+  return {[this, controller = lab_.random_controller()](bool on) {
     store_.link(controller).to_server.held = on;
     store_.link(controller).to_client.held = on;
-    for (int other = 0; other < kControllers; ++other) {
+    for (int other = 0; other < kControllerCount; ++other) {
       if (other == controller) continue;
       controllers_.link(controller, other).to_server.held = on;
       controllers_.link(other, controller).to_server.held = on;
@@ -146,9 +147,10 @@
 // ---- the key-value store -------------------------------------------------------------------------
 
 void FaultInjector::set_store_latency(double share, double max_seconds) {
-  for (int controller = 0; controller < kControllers; ++controller)
+  for (int controller = 0; controller < kControllerCount; ++controller)
     store_.link(controller).to_client.latency = [this, share, max_seconds] {
-      return lab_.chance() < share ? lab_.between(kMinLatencySeconds, max_seconds) : Micros{0};
+      return lab_.random_fraction() < share ? lab_.random_duration(kMinLatencySeconds, max_seconds)
+                                            : Micros{0};
     };
 }
 
@@ -162,17 +164,19 @@
 }
 
 std::vector<FaultInjector::Switch> FaultInjector::hold_store_requests() {
-  return {
-      [this, controller = lab_.any_controller()](bool on) { store_.link(controller).to_server.held = on; }};
+  return {[this, controller = lab_.random_controller()](bool on) {
+    store_.link(controller).to_server.held = on;
+  }};
 }
 
 std::vector<FaultInjector::Switch> FaultInjector::hold_store_answers() {
-  return {
-      [this, controller = lab_.any_controller()](bool on) { store_.link(controller).to_client.held = on; }};
+  return {[this, controller = lab_.random_controller()](bool on) {
+    store_.link(controller).to_client.held = on;
+  }};
 }
 
 std::vector<FaultInjector::Switch> FaultInjector::refuse_at_store() {
-  return {[this, controller = lab_.any_controller()](bool on) { store_.set_refusal(controller, on); }};
+  return {[this, controller = lab_.random_controller()](bool on) { store_.set_refusal(controller, on); }};
 }
 
 std::vector<FaultInjector::Switch> FaultInjector::store_outage() {
@@ -182,20 +186,20 @@
 // ---- machines, the cloud, users ------------------------------------------------------------------
 
 std::vector<FaultInjector::Switch> FaultInjector::cut_from_workers() {
-  return {[this, controller = lab_.any_controller()](bool on) { workers_.set_cut(controller, on); }};
+  return {[this, controller = lab_.random_controller()](bool on) { workers_.set_cut(controller, on); }};
 }
 
 std::vector<FaultInjector::Switch> FaultInjector::kill_machine() {
   const std::vector<std::string> names = workers_.up();
   if (!names.empty())
-    workers_.kill(names.at(static_cast<std::size_t>(lab_.pick(static_cast<int>(names.size())))));
+    workers_.kill(names.at(static_cast<std::size_t>(lab_.random_index(static_cast<int>(names.size())))));
   return {};
 }
 
 std::vector<FaultInjector::Switch> FaultInjector::on_some_machines(bool sim::SimulatedWorker::*flag) {
   std::vector<Switch> switches;
   for (const std::string& name : workers_.up()) {
-    if (lab_.chance() > kShareOfMachines) continue;
+    if (lab_.random_fraction() > kShareOfMachines) continue;
     switches.emplace_back([this, name, flag](bool on) {
       if (sim::SimulatedWorker* worker = workers_.worker(name)) worker->*flag = on;
     });
@@ -228,7 +232,7 @@
 }
 
 std::vector<FaultInjector::Switch> FaultInjector::cancel_some() {
-  users_.cancel_some(1 + lab_.pick(kMostCancelled));
+  users_.cancel_some(1 + lab_.random_index(kMostCancelled));
   return {};
 }
 
--- a/lab/laboratory.cpp
+++ b/lab/laboratory.cpp
@@ -23,9 +23,9 @@
 
 }  // namespace
 
-Laboratory::Laboratory(const Plan& its_plan)
-    : plan(its_plan),
-      began(loop.now()),
+Laboratory::Laboratory(const Plan& soak_plan)
+    : plan(soak_plan),
+      started_at(loop.now()),
       random(plan.seed),
       settings(make_settings()),
       history([this] { return now(); }),
--- a/lab/laboratory.h
+++ b/lab/laboratory.h
@@ -1,5 +1,5 @@
-// What all components of the laboratory share: its plan, its clock, the history and the checker of the rules.
-// Addresses are on loopback, numbered from one base port.
+// State shared by all components of the laboratory: the plan, the event loop and its clock, the random
+// numbers, the history and the checker. All addresses are on loopback, at ports counted from one base port.
 #pragma once
 
 #include <map>
@@ -13,53 +13,54 @@
 
 namespace bendtide::lab {
 
-/// A defect planted in the simulated services, to show that the checker of a rule finds it.
+/// A defect planted in the simulated services or in the settings, to show that the checker detects it.
 enum class PlantedDefect : std::uint8_t {
   none,
-  start_twice,      ///< a start command is executed on another machine as well
-  keep_cancelled,   ///< workers execute no stop commands
-  deny_jobs,        ///< polls for accepted jobs are answered 404
-  invent_jobs,      ///< polls for unknown jobs are answered 200
-  call_done_early,  ///< running jobs are called done
-  take_back,        ///< jobs that are done are called running
-  start_nothing,    ///< workers execute no start commands
-  exceed_limits,    ///< the controllers are given limits ten times the real ones
-  misplace          ///< submissions leave out the zone that the job is bound to
+  start_twice,      ///< a second machine executes each start command, too
+  keep_cancelled,   ///< stop commands do not reach the workers
+  deny_jobs,        ///< polls for accepted jobs return status 404
+  invent_jobs,      ///< polls for unknown jobs return status 200
+  call_done_early,  ///< polls report running jobs as done
+  take_back,        ///< polls report a job as running after they reported it as done
+  start_nothing,    ///< start commands do not reach the workers
+  exceed_limits,    ///< the controllers' settings allow ten times each team's limit
+  misplace          ///< submissions omit the zone that the job is bound to
 };
 
-/// What a soak is made of. Two soaks with the same plan draw from the same seed, but run in real time: their
-/// events differ.
+/// The parameters of a soak. Soaks run in real time, so two soaks with the same plan and seed do not produce
+/// the same sequence of events.
 struct Plan {
   std::uint64_t seed = 1;
-  Micros faults_for = seconds(60);  ///< the time in which faults are injected and jobs are submitted
-  Micros settle_for = seconds(45);  ///< after that, the time until all work has to be done, at most
-  int machines = 24;                ///< at most
+  Micros fault_phase = seconds(60);     ///< how long faults are injected and jobs submitted
+  Micros settle_timeout = seconds(45);  ///< limit for finishing all work after the fault phase
+  int max_machines = 24;                ///< capacity of the cloud
   double jobs_per_second = 2;
-  bool faults = true;
+  bool inject_faults = true;
   PlantedDefect planted_defect = PlantedDefect::none;
-  std::string expected_rule;  ///< that the planted defect violates; the soak ends once it is violated
+  std::string expected_rule;  ///< violated by the planted defect; the soak ends at the violation
   int base_port = 0;
-  std::string program;    ///< the controller's
-  std::string directory;  ///< for settings files and logs
+  std::string program;    ///< path of the controller executable
+  std::string directory;  ///< for the settings files, the logs and the history
 };
 
-constexpr int kControllers = 3;
+constexpr int kControllerCount = 3;
 
-/// Outlives all components. Single-threaded: everything runs on its loop.
+/// Must outlive all components. Single-threaded: all components run on `loop`.
 struct Laboratory {
-  explicit Laboratory(const Plan& its_plan);
+  explicit Laboratory(const Plan& soak_plan);
 
-  /// Steady time since the laboratory began.
-  Micros now() const { return loop.now() - began; }
+  /// Time since the laboratory was created, on the steady clock.
+  Micros now() const { return loop.now() - started_at; }
   /// Uniform in [0, 1).
-  double chance() { return std::uniform_real_distribution<double>(0, 1)(random); }
-  /// Uniform among 0 ... count - 1.
-  int pick(int count) { return std::uniform_int_distribution<int>(0, count - 1)(random); }
-  int any_controller() { return pick(kControllers); }
-  Micros between(double from_seconds, double to_seconds) {
-    return seconds(from_seconds + chance() * (to_seconds - from_seconds));
+  double random_fraction() { return std::uniform_real_distribution<double>(0, 1)(random); }
+  /// Uniform in 0 ... count - 1.
+  int random_index(int count) { return std::uniform_int_distribution<int>(0, count - 1)(random); }
+  int random_controller() { return random_index(kControllerCount); }
+  /// Uniform between two durations in seconds.
+  Micros random_duration(double from_seconds, double to_seconds) {
+    return seconds(from_seconds + random_fraction() * (to_seconds - from_seconds));
   }
-  static std::string host(int controller) { return "node-" + std::to_string(controller); }
+  static std::string host_name(int controller) { return "node-" + std::to_string(controller); }
   static std::string zone(int controller) { return controller == 2 ? "west" : "east"; }
   std::string address(int port) const { return "127.0.0.1:" + std::to_string(plan.base_port + port); }
 
@@ -69,18 +70,18 @@
   static int store_port(int controller) { return 6 + controller; }
   static int store_link_port(int controller) { return 9 + controller; }
   static int cloud_port() { return 12; }
-  static int peer_link_port(int from, int to) { return 13 + from * kControllers + to; }
-  static int worker_port() { return 30; }  ///< of every machine: each has an address of its own
+  static int peer_link_port(int from, int to) { return 13 + from * kControllerCount + to; }
+  static int worker_port() { return 30; }  ///< the same for all machines, which have different addresses
 
   Plan plan;
   io::Loop loop;
-  Micros began{0};
+  Micros started_at{0};
   std::mt19937_64 random;
   Settings settings;
   History history;
   sim::Checker checker;
-  std::map<std::string, JobSpec> specs;
-  bool closing = false;  ///< all coroutines end
+  std::map<std::string, JobSpec> job_specs;
+  bool closing = false;  ///< set at the end of the soak: periodic coroutines return
 };
 
 }  // namespace bendtide::lab
--- a/lab/soak.cpp
+++ b/lab/soak.cpp
@@ -49,24 +49,24 @@
 }
 
 io::Task<> Soak::stop_at_the_end() {
-  const Micros end = lab_.plan.faults_for + lab_.plan.settle_for;
+  const Micros end = lab_.plan.fault_phase + lab_.plan.settle_timeout;
   bool settling = false;
   while (lab_.now() < end && !has_ended()) {
     lab_.checker.check_cancelled_jobs(lab_.now());
-    if (!settling && lab_.now() >= lab_.plan.faults_for) {
+    if (!settling && lab_.now() >= lab_.plan.fault_phase) {
       settling = true;
       lab_.checker.set_settled(lab_.now());
     }
     co_await lab_.loop.sleep(kCheckEvery);
   }
-  for (int i = 0; i < kControllers; ++i) co_await read_metrics(i);
+  for (int i = 0; i < kControllerCount; ++i) co_await read_metrics(i);
   lab_.closing = true;
   lab_.loop.stop();
 }
 
 bool Soak::has_ended() const {
   if (!lab_.plan.expected_rule.empty()) return lab_.checker.violations().contains(lab_.plan.expected_rule);
-  return lab_.now() >= lab_.plan.faults_for && users_.unfinished().empty();
+  return lab_.now() >= lab_.plan.fault_phase && users_.unfinished().empty();
 }
 
 io::Task<> Soak::read_metrics(int controller) {
@@ -88,10 +88,10 @@
   if (controllers_.unexpected_ends() > 0)
     verdict.violations.push_back("controllers that ended unexpectedly: " +
                                  std::to_string(controllers_.unexpected_ends()));
-  for (int i = 0; i < kControllers; ++i) {
+  for (int i = 0; i < kControllerCount; ++i) {
     const std::string& metrics = metrics_.at(static_cast<std::size_t>(i));
     if (metrics.empty())
-      verdict.violations.push_back(labelled(Laboratory::host(i), "serves no metrics at the end"));
+      verdict.violations.push_back(labelled(Laboratory::host_name(i), "serves no metrics at the end"));
     for (const std::string& line : violations_in(metrics)) verdict.violations.push_back(line);
     for (const std::string& line : controllers_.errors(i))
       verdict.violations.push_back(labelled("in a log", line));
--- a/lab/soak.h
+++ b/lab/soak.h
@@ -47,7 +47,7 @@
   Controllers controllers_;
   UserCrowd users_;
   FaultInjector injector_;
-  std::array<std::string, kControllers> metrics_;
+  std::array<std::string, kControllerCount> metrics_;
 };
 
 }  // namespace bendtide::lab
--- a/lab/soak_main.cpp
+++ b/lab/soak_main.cpp
@@ -53,11 +53,11 @@
 bendtide::lab::Plan plan_of(const Options& options) {
   bendtide::lab::Plan plan;
   plan.seed = options.seed;
-  plan.faults_for = bendtide::seconds(options.duration);
-  plan.settle_for = bendtide::seconds(options.settle);
-  plan.machines = options.machines;
+  plan.fault_phase = bendtide::seconds(options.duration);
+  plan.settle_timeout = bendtide::seconds(options.settle);
+  plan.max_machines = options.machines;
   plan.jobs_per_second = options.rate;
-  plan.faults = !options.no_faults;
+  plan.inject_faults = !options.no_faults;
   plan.planted_defect = planted_defects().at(options.planted);
   plan.expected_rule = options.expect;
   plan.program = options.program;
--- a/lab/store_server.cpp
+++ b/lab/store_server.cpp
@@ -3,7 +3,7 @@
 namespace bendtide::lab {
 
 StoreServer::StoreServer(Laboratory& lab) : lab_(lab), store_(lab.settings) {
-  for (int i = 0; i < kControllers; ++i) {
+  for (int i = 0; i < kControllerCount; ++i) {
     Port& port = ports_.at(static_cast<std::size_t>(i));
     port.server = std::make_unique<HttpServer>(
         lab.loop, lab.address(Laboratory::store_port(i)),
--- a/lab/store_server.h
+++ b/lab/store_server.h
@@ -10,7 +10,7 @@
 
 namespace bendtide::lab {
 
-/// Controllers are numbered from 0 to kControllers - 1.
+/// Controllers are numbered from 0 to kControllerCount - 1.
 class StoreServer {
  public:
   explicit StoreServer(Laboratory& lab);
@@ -33,7 +33,7 @@
 
   Laboratory& lab_;
   sim::SimulatedKeyValueStore store_;
-  std::array<Port, kControllers> ports_;
+  std::array<Port, kControllerCount> ports_;
 };
 
 }  // namespace bendtide::lab
--- a/lab/user_crowd.cpp
+++ b/lab/user_crowd.cpp
@@ -42,39 +42,39 @@
 
 io::Task<> UserCrowd::arrive() {
   co_await lab_.loop.sleep(seconds(3));
-  while (lab_.now() < lab_.plan.faults_for) {
+  while (lab_.now() < lab_.plan.fault_phase) {
     users_.push_back(std::make_unique<User>());
     User& user = *users_.back();
     user.spec = draw_spec();
-    lab_.specs[user.spec.id] = user.spec;
+    lab_.job_specs[user.spec.id] = user.spec;
     lab_.checker.submitted(user.spec);
     lab_.loop.spawn(live(user));
-    co_await lab_.loop.sleep(lab_.between(0, 2 / lab_.plan.jobs_per_second));
+    co_await lab_.loop.sleep(lab_.random_duration(0, 2 / lab_.plan.jobs_per_second));
   }
 }
 
 JobSpec UserCrowd::draw_spec() {
   JobSpec spec;
   spec.id = "run-" + std::to_string(100'000 + users_.size());
-  spec.team = lab_.chance() < 0.5 ? "blue" : "green";
+  spec.team = lab_.random_fraction() < 0.5 ? "blue" : "green";
   spec.job_class = "class";
-  spec.image = "image-" + std::to_string(lab_.pick(3));
+  spec.image = "image-" + std::to_string(lab_.random_index(3));
   spec.image_gb = 1;
   spec.each = {2000, 0, 4000};
-  if (lab_.chance() < kShareOfServices) {
+  if (lab_.random_fraction() < kShareOfServices) {
     spec.shape = Shape::service;
     spec.tasks = 1;
     spec.priority = Priority::high;
     return spec;
   }
-  spec.tasks = static_cast<std::uint32_t>(1 + lab_.pick(4));
-  spec.estimate = lab_.between(1, 5);
-  spec.spot = lab_.chance() < 0.5;
-  if (lab_.chance() < 0.2) {
+  spec.tasks = static_cast<std::uint32_t>(1 + lab_.random_index(4));
+  spec.estimate = lab_.random_duration(1, 5);
+  spec.spot = lab_.random_fraction() < 0.5;
+  if (lab_.random_fraction() < 0.2) {
     spec.checkpoint = seconds(1);
     spec.save = seconds(1);
   }
-  if (lab_.chance() < 0.2) spec.zone = lab_.chance() < 0.5 ? "east" : "west";
+  if (lab_.random_fraction() < 0.2) spec.zone = lab_.random_fraction() < 0.5 ? "east" : "west";
   return spec;
 }
 
@@ -83,10 +83,10 @@
 io::Task<> UserCrowd::live(User& user) {
   const bool accepted = co_await submit(user);
   if (!accepted) co_return;
-  if (lab_.chance() < kShareImpatient) lab_.loop.spawn(act_at_acceptance(user));
+  if (lab_.random_fraction() < kShareImpatient) lab_.loop.spawn(act_at_acceptance(user));
   if (cancels_once_running()) lab_.loop.spawn(cancel_once_running(user));
   while (!lab_.closing) {
-    const int controller = lab_.any_controller();
+    const int controller = lab_.random_controller();
     co_await poll_at(user, controller);
     const Micros pause = user.answered_final ? kPollFinalEvery : kPollEvery;
     co_await lab_.loop.sleep(pause);
@@ -99,8 +99,8 @@
   if (lab_.plan.planted_defect == PlantedDefect::misplace) sent.zone.reset();
   while (lab_.now() - since < kGiveUpAfter && !lab_.closing) {
     const Micros asked_at = lab_.now();
-    Request request{user.spec.id,          "POST",       kJobsPath, wire::body_of(sent),
-                    lab_.any_controller(), kSubmitWithin};
+    Request request{user.spec.id, "POST", kJobsPath, wire::body_of(sent), lab_.random_controller(),
+                    kSubmitWithin};
     const Answer answer = co_await send(std::move(request));
     if (answer.status == 200 || answer.status == 201) {
       user.accepted = true;
@@ -117,8 +117,8 @@
 io::Task<> UserCrowd::act_at_acceptance(User& user) {
   poll_everywhere(user);
   lab_.loop.spawn(submit_again(user));
-  const Micros delay = lab_.between(0, kActWithinSeconds);
-  if (!cancels_once_running() && lab_.chance() < kShareCancelled) co_await cancel(user, delay);
+  const Micros delay = lab_.random_duration(0, kActWithinSeconds);
+  if (!cancels_once_running() && lab_.random_fraction() < kShareCancelled) co_await cancel(user, delay);
 }
 
 /// The loss of stop commands shows only in jobs that are cancelled while they run.
@@ -131,15 +131,15 @@
     if (user.answered_final) co_return;
     co_await lab_.loop.sleep(kCheckRunningEvery);
   }
-  const Micros delay = lab_.between(0, kActWithinSeconds);
+  const Micros delay = lab_.random_duration(0, kActWithinSeconds);
   co_await cancel(user, delay);
 }
 
 io::Task<> UserCrowd::submit_again(User& user) {
-  co_await lab_.loop.sleep(lab_.between(0, kActWithinSeconds));
+  co_await lab_.loop.sleep(lab_.random_duration(0, kActWithinSeconds));
   const Micros asked_at = lab_.now();
-  Request request{user.spec.id,          "POST",       kJobsPath, wire::body_of(user.spec),
-                  lab_.any_controller(), kSubmitWithin};
+  Request request{user.spec.id, "POST", kJobsPath, wire::body_of(user.spec), lab_.random_controller(),
+                  kSubmitWithin};
   const Answer answer = co_await send(std::move(request));
   record_answer(user, answer, asked_at);
 }
@@ -150,8 +150,9 @@
   lab_.checker.cancel_requested(user.spec.id);
   while (!lab_.closing) {
     const Micros asked_at = lab_.now();
-    Request request{user.spec.id,          "POST",       job_target(user.spec.id) + kCancelSuffix, "{}",
-                    lab_.any_controller(), kSubmitWithin};
+    Request request{
+        user.spec.id, "POST", job_target(user.spec.id) + kCancelSuffix, "{}", lab_.random_controller(),
+        kSubmitWithin};
     const Answer answer = co_await send(std::move(request));
     record_answer(user, answer, asked_at);
     if (answer.status == 200 && is_final(answer.phase)) {
@@ -169,12 +170,12 @@
         !lab_.checker.is_running(user->spec.id))
       continue;
     --count;
-    lab_.loop.spawn(cancel(*user, lab_.between(0, 0.2)));
+    lab_.loop.spawn(cancel(*user, lab_.random_duration(0, 0.2)));
   }
 }
 
 void UserCrowd::poll_everywhere(User& user) {
-  for (int i = 0; i < kControllers; ++i) lab_.loop.spawn(poll_at(user, i));
+  for (int i = 0; i < kControllerCount; ++i) lab_.loop.spawn(poll_at(user, i));
 }
 
 io::Task<> UserCrowd::poll_at(User& user, int controller) {
@@ -201,7 +202,7 @@
   while (!lab_.closing) {
     co_await lab_.loop.sleep(seconds(5));
     const Micros asked_at = lab_.now();
-    Request request{kUnknownJob, "GET", job_target(kUnknownJob), "", lab_.any_controller(), kPollWithin};
+    Request request{kUnknownJob, "GET", job_target(kUnknownJob), "", lab_.random_controller(), kPollWithin};
     Answer answer = co_await send(std::move(request));
     if (lab_.plan.planted_defect == PlantedDefect::invent_jobs && answer.status == 404) answer.status = 200;
     lab_.checker.answered(kUnknownJob, answer.status, answer.phase, asked_at, lab_.now());
@@ -221,7 +222,7 @@
   else
     ++answers_;
   lab_.history.add(request.job + ": " + request.method + " " + request.target + " at " +
-                   Laboratory::host(request.controller) + " -> " + std::to_string(answer.status) + " " +
+                   Laboratory::host_name(request.controller) + " -> " + std::to_string(answer.status) + " " +
                    to_text(answer.phase) + " after " +
                    std::to_string((lab_.now() - asked_at).count() / 1000) + " ms");
   co_return answer;
--- a/lab/worker_fleet.cpp
+++ b/lab/worker_fleet.cpp
@@ -30,7 +30,8 @@
 
 WorkerFleet::WorkerFleet(Laboratory& lab)
     : lab_(lab),
-      cloud_(machine_types(), lab.plan.machines, [this](sim::SimulatedCloud::Machine& m) { bring_up(m); }),
+      cloud_(machine_types(), lab.plan.max_machines,
+             [this](sim::SimulatedCloud::Machine& m) { bring_up(m); }),
       cloud_server_(lab.loop, lab.address(Laboratory::cloud_port()),
                     [this](http::Message request) { return serve_cloud(std::move(request)); }) {}
 
@@ -50,17 +51,17 @@
 }
 
 io::Task<> WorkerFleet::boot(std::string machine) {
-  co_await lab_.loop.sleep(lab_.between(0.5, 3));
+  co_await lab_.loop.sleep(lab_.random_duration(0.5, 3));
   const auto found = cloud_.machines().find(machine);
   if (found == cloud_.machines().end() || found->second.dead) co_return;
   sim::SimulatedWorker::Hooks hooks;
   hooks.checker = &lab_.checker;
   hooks.job = [this](const std::string& id) {
-    const auto spec = lab_.specs.find(id);
-    return spec == lab_.specs.end() ? nullptr : &spec->second;
+    const auto spec = lab_.job_specs.find(id);
+    return spec == lab_.job_specs.end() ? nullptr : &spec->second;
   };
   hooks.run_time = [this](const TaskId& task) {
-    const JobSpec& spec = lab_.specs.at(task.job);
+    const JobSpec& spec = lab_.job_specs.at(task.job);
     return spec.shape == Shape::service ? seconds(100'000) : spec.estimate;
   };
   found->second.worker = std::make_unique<sim::SimulatedWorker>(
@@ -102,8 +103,8 @@
 // ---- direct commands -----------------------------------------------------------------------------
 
 io::Task<HttpReply> WorkerFleet::serve_commands(std::string machine, http::Message request) {
-  if (late_commands_ > Micros{0} && lab_.chance() < kShareOfLateCommands)
-    co_await lab_.loop.sleep(lab_.between(0, in_seconds(late_commands_)));
+  if (late_commands_ > Micros{0} && lab_.random_fraction() < kShareOfLateCommands)
+    co_await lab_.loop.sleep(lab_.random_duration(0, in_seconds(late_commands_)));
   sim::SimulatedWorker* reached = worker(machine);
   while (reached != nullptr && reached->hanging) {
     co_await lab_.loop.sleep(kStep);
@@ -168,9 +169,9 @@
 
 int WorkerFleet::target_controller(sim::SimulatedWorker& worker) {
   if (worker.target.empty())
-    worker.target = Laboratory::host(static_cast<int>(worker.next_controller++ % kControllers));
-  for (int i = 0; i < kControllers; ++i)
-    if (Laboratory::host(i) == worker.target) return i;
+    worker.target = Laboratory::host_name(static_cast<int>(worker.next_controller++ % kControllerCount));
+  for (int i = 0; i < kControllerCount; ++i)
+    if (Laboratory::host_name(i) == worker.target) return i;
   return 0;
 }
 
@@ -184,7 +185,7 @@
   if (self->unreachable_outbound || cut_.at(static_cast<std::size_t>(controller))) {
     co_await lab_.loop.sleep(seconds(1));
   } else {
-    if (late_heartbeats_ && lab_.chance() < kShareOfLateHeartbeats)
+    if (late_heartbeats_ && lab_.random_fraction() < kShareOfLateHeartbeats)
       lab_.loop.spawn(repeat_heartbeat_late(body));
     HttpCall call{lab_.address(Laboratory::user_port(controller)), "POST", kHeartbeatPath, body,
                   kHeartbeatWithin};
@@ -208,8 +209,8 @@
 
 /// Sends a copy of a heartbeat late, to any controller.
 io::Task<> WorkerFleet::repeat_heartbeat_late(std::string body) {
-  co_await lab_.loop.sleep(lab_.between(2, in_seconds(lab_.settings.worker_lease) * 1.6));
-  const int controller = lab_.pick(kControllers);
+  co_await lab_.loop.sleep(lab_.random_duration(2, in_seconds(lab_.settings.worker_lease) * 1.6));
+  const int controller = lab_.random_index(kControllerCount);
   HttpCall call{lab_.address(Laboratory::user_port(controller)), "POST", kHeartbeatPath, std::move(body),
                 kHeartbeatWithin};
   co_await perform(lab_.loop, std::move(call));
--- a/lab/worker_fleet.h
+++ b/lab/worker_fleet.h
@@ -49,7 +49,7 @@
   HttpServer cloud_server_;
   std::vector<std::unique_ptr<HttpServer>> command_servers_;  ///< of all machines that ever were up
   int next_address_ = 0;
-  std::array<bool, kControllers> cut_{};
+  std::array<bool, kControllerCount> cut_{};
   bool late_heartbeats_ = false;
   Micros late_commands_{0};
 };
