--- a/lab/history.h
+++ b/lab/history.h
@@ -1,4 +1,4 @@
-// What happened, as seen from outside the controllers: one line for each event, in the order of one clock.
+// A log of the events of a soak as observed from outside the controllers, in the order of one clock.
 #pragma once
 
 #include <deque>
@@ -10,22 +10,22 @@
 
 namespace bendtide::lab {
 
-/// Keeps the last 500,000 events. Times are those of the function that it is given.
+/// Keeps the last 500,000 events, with timestamps from the clock that it is given.
 class History {
  public:
   explicit History(std::function<Micros()> now) : now_(std::move(now)) {}
 
-  /// `what` begins with the id of the job, machine or controller that it is about.
-  void add(const std::string& what);
-  /// Prints the events that name `subject`; with an empty one, all that are kept.
+  /// `description` starts with the id of the job, task, machine or component that the event concerns.
+  void add(const std::string& description);
+  /// Prints the events whose description contains `subject`, or all events if it is empty.
   void print(std::ostream& out, const std::string& subject) const;
 
  private:
   struct Event {
     Micros at{0};
-    std::string what;
+    std::string description;
   };
-  static constexpr std::size_t kKept = 500'000;
+  static constexpr std::size_t kMaxEvents = 500'000;
 
   std::function<Micros()> now_;
   std::deque<Event> events_;
