--- a/lab/http_call.h
+++ b/lab/http_call.h
@@ -1,4 +1,4 @@
-// One HTTP request on a connection of its own.
+// HTTP requests that each use a new connection.
 #pragma once
 
 #include "io/http_client.h"
@@ -10,11 +10,12 @@
   std::string method;
   std::string target;
   std::string body;
-  Micros within{0};  ///< from the start of the connection to the whole response
+  Micros timeout{0};  ///< for connecting, sending and receiving the whole response
 };
 
-/// Status 0 of the result: no response in time, or no connection. GCC 12 destroys some temporaries of a
-/// co_await expression twice: callers name the call and move it here.
+/// Sends the request and returns the response. Its status is 0 if the connection failed or no complete
+/// response arrived in time. Callers move a named HttpCall into `call` instead of passing a temporary,
+/// because GCC 12 destroys some temporaries of a co_await expression twice.
 io::Task<io::HttpClient::Result> perform(io::Loop& loop, HttpCall call);
 
 }  // namespace bendtide::lab
