--- a/lab/http_server.cpp
+++ b/lab/http_server.cpp
@@ -5,8 +5,8 @@
 namespace {
 
 constexpr std::size_t kBacklog = 256;
-constexpr Micros kIdle = seconds(120);
-constexpr Micros kWriteWithin = seconds(5);
+constexpr Micros kIdleTimeout = seconds(120);
+constexpr Micros kWriteTimeout = seconds(5);
 
 }  // namespace
 
@@ -27,7 +27,7 @@
     http::Parse parsed = http::parse(buffer, http::Kind::request, limits);
     if (parsed.state == http::Parse::State::malformed) co_return;
     if (parsed.state == http::Parse::State::incomplete) {
-      if (!co_await socket.read(buffer, loop_.now() + kIdle)) co_return;
+      if (!co_await socket.read(buffer, loop_.now() + kIdleTimeout)) co_return;
       continue;
     }
     buffer.erase(0, parsed.consumed);
@@ -35,7 +35,7 @@
     http::Message request = std::move(parsed.message);
     const HttpReply reply = co_await handler_(std::move(request));
     const std::string response = http::write_response(reply.status, reply.body, keep_alive);
-    if (!co_await socket.write(response, loop_.now() + kWriteWithin) || !keep_alive) co_return;
+    if (!co_await socket.write(response, loop_.now() + kWriteTimeout) || !keep_alive) co_return;
   }
 }
 
--- a/lab/http_server.h
+++ b/lab/http_server.h
@@ -1,4 +1,4 @@
-// A small HTTP server for the simulated services of the laboratory: one address, one handler.
+// A small HTTP server for the simulated services: one address and one request handler.
 #pragma once
 
 #include <functional>
@@ -14,14 +14,14 @@
   std::string body = "{}";
 };
 
-/// Serves every connection for as long as the client keeps it open.
+/// Serves each connection until the client closes it, asks for that, or is idle for too long.
 class HttpServer {
  public:
   using Handler = std::function<io::Task<HttpReply>(http::Message)>;
 
-  /// Listens at once; throws std::runtime_error if the address is taken.
+  /// Starts to listen. Throws std::runtime_error if it can't listen at the address.
   HttpServer(io::Loop& loop, const std::string& address, Handler handler);
-  /// Serves for as long as the loop runs. The server has to outlive it.
+  /// Accepts connections as long as the loop runs. The server must live until the loop has stopped.
   io::Task<> run();
 
  private:
