--- a/lab/fault_injector.cpp
+++ b/lab/fault_injector.cpp
@@ -128,7 +128,7 @@
   return {[this](bool on) {
     for (int from = 0; from < kControllerCount; ++from)
       for (int to = 0; to < kControllerCount; ++to)
-        if (from != to) controllers_.link(from, to).refuses = on;
+        if (from != to) controllers_.link(from, to).refuses_connections = on;
   }};
 }
 
--- a/lab/link_proxy.h
+++ b/lab/link_proxy.h
@@ -1,4 +1,4 @@
-// A link between two programs over loopback, with faults for each direction on its own.
+// A TCP proxy between two processes on loopback that injects faults into each direction separately.
 #pragma once
 
 #include <functional>
@@ -9,31 +9,33 @@
 
 namespace bendtide::lab {
 
-/// What one direction of a link does with the bytes that it is given.
+/// The faults of one direction of a link.
 struct Direction {
-  bool held = false;                ///< keeps them until it is released, whatever has become of the sender
-  std::function<Micros()> latency;  ///< drawn for each piece; none: no delay
+  bool held = false;  ///< bytes wait until this is reset and are delivered even if the sender has gone
+  std::function<Micros()> latency;  ///< returns the delay of each chunk; empty: no delay
 };
 
-/// Forwards every connection to its target, byte by byte and in order. The faults may be changed at any time
-/// and hold for connections that are open, too.
+/// Forwards every connection to its target and keeps the order of the bytes. Faults may be changed at any
+/// time; those of a direction also apply to connections that are already open.
 class LinkProxy {
  public:
   LinkProxy(io::Loop& loop, const std::string& listen_at, std::string target);
-  /// Serves for as long as the loop runs. The proxy has to outlive it.
+  /// Accepts connections as long as the loop runs. The proxy must live until the loop has stopped.
   io::Task<> run();
 
   Direction to_server;
   Direction to_client;
-  bool refuses = false;  ///< new connections are closed at once
+  bool refuses_connections = false;  ///< new connections are closed as soon as they are accepted
 
  private:
   struct Connection {
     io::Socket client;
     io::Socket server;
   };
-  io::Task<> open(io::Socket client);
-  io::Task<> pump(std::shared_ptr<Connection> connection, bool towards_server);
+  io::Task<> open_connection(io::Socket client);
+  /// Forwards one direction of a connection until its source closes and everything received is delivered,
+  /// or until a write fails; then ends the other direction, too.
+  io::Task<> forward(std::shared_ptr<Connection> connection, bool towards_server);
 
   io::Loop& loop_;
   io::Socket listener_;
