--- a/lab/fault_injector.cpp
+++ b/lab/fault_injector.cpp
@@ -176,7 +176,7 @@
 }
 
 std::vector<FaultInjector::Switch> FaultInjector::refuse_at_store() {
-  return {[this, controller = lab_.random_controller()](bool on) { store_.set_refusal(controller, on); }};
+  return {[this, controller = lab_.random_controller()](bool on) { store_.set_refused(controller, on); }};
 }
 
 std::vector<FaultInjector::Switch> FaultInjector::store_outage() {
--- a/lab/soak.cpp
+++ b/lab/soak.cpp
@@ -38,7 +38,7 @@
 
 Verdict Soak::run() {
   lab_.loop.on_error = [this](const std::string& what) { lab_.history.add("laboratory: " + what); };
-  store_.run();
+  store_.start();
   workers_.run();
   controllers_.run();
   users_.run();
--- a/lab/store_server.cpp
+++ b/lab/store_server.cpp
@@ -13,7 +13,7 @@
   }
 }
 
-void StoreServer::run() {
+void StoreServer::start() {
   for (Port& port : ports_) {
     lab_.loop.spawn(port.server->run());
     lab_.loop.spawn(port.link->run());
--- a/lab/store_server.h
+++ b/lab/store_server.h
@@ -1,4 +1,5 @@
-// The simulated key-value store as a server: one store, a port for each controller, and faults for each port.
+// Serves the simulated key-value store over HTTP, with a separate port and separate faults for each
+// controller.
 #pragma once
 
 #include <array>
@@ -10,17 +11,18 @@
 
 namespace bendtide::lab {
 
-/// Controllers are numbered from 0 to kControllerCount - 1.
+/// All ports share one store. Controllers are numbered from 0 to kControllerCount - 1.
 class StoreServer {
  public:
   explicit StoreServer(Laboratory& lab);
-  void run();
+  /// Starts to serve all ports.
+  void start();
 
-  /// During an outage all controllers are refused.
+  /// During an outage the requests of all controllers fail with status 503.
   void set_outage(bool on);
-  /// One controller is refused, while the others are served.
-  void set_refusal(int controller, bool on) { ports_.at(static_cast<std::size_t>(controller)).refused = on; }
-  /// The link between a controller and the store.
+  /// While set, the requests of this controller fail with status 503; the others are served.
+  void set_refused(int controller, bool on) { ports_.at(static_cast<std::size_t>(controller)).refused = on; }
+  /// The proxy through which a controller reaches the store.
   LinkProxy& link(int controller) { return *ports_.at(static_cast<std::size_t>(controller)).link; }
 
  private:
