--- a/lab/controllers.cpp
+++ b/lab/controllers.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-constexpr Micros kWatchEvery = millis(100);
+constexpr Micros kExitCheckInterval = millis(100);
 constexpr int kExecFailed = 127;
 constexpr mode_t kLogMode = 0644;
 constexpr double kMillicpusPerCpu = 1000;
@@ -22,8 +22,8 @@
   return static_cast<std::size_t>(from) * kControllerCount + static_cast<std::size_t>(to);
 }
 
-/// In the child process: executes the controller, with its log appended to a file. It is killed when the
-/// laboratory ends.
+/// Called in the child process: executes the controller, with its standard error appended to the log file.
+/// The kernel kills the controller when the laboratory's process exits.
 [[noreturn]] void exec_controller(const std::string& program, const std::string& settings,
                                   const std::string& log) {
   prctl(PR_SET_PDEATHSIG, SIGKILL);
@@ -51,11 +51,11 @@
   for (int i = 0; i < kControllerCount; ++i) kill(i);
 }
 
-void Controllers::run() {
+void Controllers::start_all() {
   for (const auto& link : links_)
     if (link) lab_.loop.spawn(link->run());
   for (int i = 0; i < kControllerCount; ++i) start(i);
-  lab_.loop.spawn(watch());
+  lab_.loop.spawn(restart_exited());
 }
 
 LinkProxy& Controllers::link(int from, int to) { return *links_.at(link_index(from, to)); }
@@ -105,9 +105,9 @@
   if (is_running(controller)) return;
   const pid_t pid = ::fork();
   if (pid == 0) exec_controller(lab_.plan.program, settings_file(controller), log_file(controller));
-  if (pid < 0) throw std::runtime_error("a controller can't be started");
+  if (pid < 0) throw std::runtime_error("cannot fork a process for a controller");
   at(controller) = {pid, false};
-  lab_.history.add(Laboratory::host_name(controller) + ": is started");
+  lab_.history.add(Laboratory::host_name(controller) + ": started");
 }
 
 void Controllers::kill(int controller) {
@@ -116,7 +116,7 @@
   ::kill(process.pid, SIGKILL);
   ::waitpid(process.pid, nullptr, 0);
   process = {};
-  lab_.history.add(Laboratory::host_name(controller) + ": is killed");
+  lab_.history.add(Laboratory::host_name(controller) + ": killed");
 }
 
 void Controllers::pause(int controller) {
@@ -124,7 +124,7 @@
   if (process.pid <= 0 || process.paused) return;
   ::kill(process.pid, SIGSTOP);
   process.paused = true;
-  lab_.history.add(Laboratory::host_name(controller) + ": is paused");
+  lab_.history.add(Laboratory::host_name(controller) + ": paused");
 }
 
 void Controllers::resume(int controller) {
@@ -132,20 +132,20 @@
   if (process.pid <= 0 || !process.paused) return;
   ::kill(process.pid, SIGCONT);
   process.paused = false;
-  lab_.history.add(Laboratory::host_name(controller) + ": is resumed");
+  lab_.history.add(Laboratory::host_name(controller) + ": resumed");
 }
 
-io::Task<> Controllers::watch() {
+io::Task<> Controllers::restart_exited() {
   while (!lab_.closing) {
     for (int i = 0; i < kControllerCount; ++i) {
       Process& process = at(i);
       if (process.pid <= 0 || ::waitpid(process.pid, nullptr, WNOHANG) != process.pid) continue;
       process = {};
-      ++unexpected_ends_;
-      lab_.history.add(Laboratory::host_name(i) + ": has ended unexpectedly");
+      ++unexpected_exits_;
+      lab_.history.add(Laboratory::host_name(i) + ": exited unexpectedly");
       start(i);
     }
-    co_await lab_.loop.sleep(kWatchEvery);
+    co_await lab_.loop.sleep(kExitCheckInterval);
   }
 }
 
--- a/lab/soak.cpp
+++ b/lab/soak.cpp
@@ -40,7 +40,7 @@
   lab_.loop.on_error = [this](const std::string& what) { lab_.history.add("laboratory: " + what); };
   store_.start();
   workers_.run();
-  controllers_.run();
+  controllers_.start_all();
   users_.run();
   injector_.run();
   lab_.loop.spawn(stop_at_the_end());
@@ -85,9 +85,9 @@
   }
   for (const std::string& what : users_.unfinished())
     verdict.violations.push_back(labelled("unfinished", what));
-  if (controllers_.unexpected_ends() > 0)
-    verdict.violations.push_back("controllers that ended unexpectedly: " +
-                                 std::to_string(controllers_.unexpected_ends()));
+  if (controllers_.unexpected_exits() > 0)
+    verdict.violations.push_back("unexpected exits of controllers: " +
+                                 std::to_string(controllers_.unexpected_exits()));
   for (int i = 0; i < kControllerCount; ++i) {
     const std::string& metrics = metrics_.at(static_cast<std::size_t>(i));
     if (metrics.empty())
