--- a/lab/fault_injector.cpp
+++ b/lab/fault_injector.cpp
@@ -186,11 +186,13 @@
 // ---- machines, the cloud, users ------------------------------------------------------------------
 
 std::vector<FaultInjector::Switch> FaultInjector::cut_from_workers() {
-  return {[this, controller = lab_.random_controller()](bool on) { workers_.set_cut(controller, on); }};
+  return {[this, controller = lab_.random_controller()](bool on) {
+    workers_.set_heartbeats_blocked(controller, on);
+  }};
 }
 
 std::vector<FaultInjector::Switch> FaultInjector::kill_machine() {
-  const std::vector<std::string> names = workers_.up();
+  const std::vector<std::string> names = workers_.running_machines();
   if (!names.empty())
     workers_.kill(names.at(static_cast<std::size_t>(lab_.random_index(static_cast<int>(names.size())))));
   return {};
@@ -198,7 +200,7 @@
 
 std::vector<FaultInjector::Switch> FaultInjector::on_some_machines(bool sim::SimulatedWorker::*flag) {
   std::vector<Switch> switches;
-  for (const std::string& name : workers_.up()) {
+  for (const std::string& name : workers_.running_machines()) {
     if (lab_.random_fraction() > kShareOfMachines) continue;
     switches.emplace_back([this, name, flag](bool on) {
       if (sim::SimulatedWorker* worker = workers_.worker(name)) worker->*flag = on;
@@ -220,11 +222,11 @@
 }
 
 std::vector<FaultInjector::Switch> FaultInjector::late_heartbeats() {
-  return {[this](bool on) { workers_.set_late_heartbeats(on); }};
+  return {[this](bool on) { workers_.set_late_duplicate_heartbeats(on); }};
 }
 
 std::vector<FaultInjector::Switch> FaultInjector::late_commands() {
-  return {[this](bool on) { workers_.set_late_commands(on ? kLatestCommand : Micros{0}); }};
+  return {[this](bool on) { workers_.set_max_command_delay(on ? kLatestCommand : Micros{0}); }};
 }
 
 std::vector<FaultInjector::Switch> FaultInjector::cloud_outage() {
--- a/lab/soak.cpp
+++ b/lab/soak.cpp
@@ -39,7 +39,7 @@
 Verdict Soak::run() {
   lab_.loop.on_error = [this](const std::string& what) { lab_.history.add("laboratory: " + what); };
   store_.start();
-  workers_.run();
+  workers_.start();
   controllers_.start_all();
   users_.run();
   injector_.run();
