--- a/lab/fault_injector.cpp
+++ b/lab/fault_injector.cpp
@@ -4,18 +4,21 @@
 
 namespace {
 
-constexpr double kShareOfSlowAnswers = 0.04;  ///< at all times, of the key-value store's answers
-constexpr double kSlowAnswerSeconds = 0.4;
-constexpr double kShareInSlowSpell = 0.3;
-constexpr double kSlowSpellSeconds = 0.95;  ///< within a controller's patience of a second
-constexpr double kMinLatencySeconds = 0.03;
+// Latency of the key-value store while no fault slows it.
+constexpr double kSlowResponseShare = 0.04;
+constexpr double kSlowResponseMaxSeconds = 0.4;
+// Latency of the key-value store while a fault slows it: shorter than the controllers' request timeout of 1
+// s.
+constexpr double kFaultSlowResponseShare = 0.3;
+constexpr double kFaultSlowResponseMaxSeconds = 0.95;
+constexpr double kSlowResponseMinSeconds = 0.03;
 constexpr Micros kFirstFaultAt = seconds(8);
-constexpr double kMinPauseSeconds = 0.2;  ///< between two faults
-constexpr double kMaxPauseSeconds = 5;
-constexpr double kBriefSeconds = 0.3;
-constexpr double kShareOfMachines = 0.25;  ///< that a fault of machines concerns
-constexpr Micros kLatestCommand = seconds(10);
-constexpr int kMostCancelled = 6;
+constexpr double kMinFaultIntervalSeconds = 0.2;  ///< between the starts of two faults
+constexpr double kMaxFaultIntervalSeconds = 5;
+constexpr double kBriefFaultMaxSeconds = 0.3;
+constexpr double kMachineFaultProbability = 0.25;  ///< probability that a fault of machines hits a machine
+constexpr Micros kMaxCommandDelay = seconds(10);
+constexpr int kMaxCancelledJobs = 6;
 
 }  // namespace
 
@@ -26,33 +29,33 @@
 const std::vector<FaultInjector::Fault>& FaultInjector::faults() {
   using F = FaultInjector;
   static const std::vector<Fault> all{
-      {"kills one controller", {0.02, 4, 0.4}, &F::kill_one},
-      {"kills all controllers", {0.1, 4}, &F::kill_all},
-      {"pauses a controller", {0.2, 12}, &F::pause_one},
-      // Twice as often as the others.
-      {"slows the key-value store's answers", {4, 12}, &F::slow_store_answers},
-      {"slows the key-value store's answers", {4, 12}, &F::slow_store_answers},
-      {"holds requests to the key-value store", {0.5, 8}, &F::hold_store_requests},
-      {"holds answers of the key-value store", {0.5, 8}, &F::hold_store_answers},
-      {"lets the key-value store refuse a controller", {2, 10}, &F::refuse_at_store},
-      {"stops the key-value store", {1, 10}, &F::store_outage},
-      {"holds messages between two controllers", {1, 10}, &F::hold_peer_messages},
-      {"refuses connections between controllers", {2, 8}, &F::refuse_peers},
-      {"cuts a controller from all but its workers", {2, 12}, &F::isolate_with_workers},
-      {"cuts a controller from the workers", {2, 12}, &F::cut_from_workers},
-      {"kills a machine", {}, &F::kill_machine},
-      {"hangs machines", {1, 14}, &F::hang_machines},
-      {"makes machines unreachable outbound", {1, 14}, &F::make_unreachable_outbound},
-      {"makes machines unreachable inbound", {1, 14}, &F::make_unreachable_inbound},
-      {"duplicates heartbeats late", {4, 10}, &F::late_heartbeats},
-      {"executes commands late", {4, 10}, &F::late_commands},
-      {"stops the cloud", {2, 10}, &F::cloud_outage},
-      {"cancels jobs", {}, &F::cancel_some}};
+      {"one controller killed", {0.02, 4, 0.4}, &F::kill_one_controller},
+      {"all controllers killed", {0.1, 4}, &F::kill_all_controllers},
+      {"controller paused", {0.2, 12}, &F::pause_controller},
+      // Listed twice, and so drawn twice as often as the other faults.
+      {"responses of the key-value store delayed", {4, 12}, &F::slow_store_responses},
+      {"responses of the key-value store delayed", {4, 12}, &F::slow_store_responses},
+      {"requests to the key-value store held", {0.5, 8}, &F::hold_store_requests},
+      {"responses of the key-value store held", {0.5, 8}, &F::hold_store_responses},
+      {"key-value store refuses one controller", {2, 10}, &F::refuse_store_requests},
+      {"key-value store outage", {1, 10}, &F::stop_store},
+      {"messages between two controllers held", {1, 10}, &F::hold_peer_messages},
+      {"connections between controllers refused", {2, 8}, &F::refuse_peer_connections},
+      {"controller isolated from key-value store and peers", {2, 12}, &F::isolate_from_store_and_peers},
+      {"heartbeats to one controller blocked", {2, 12}, &F::block_heartbeats},
+      {"machine killed", {}, &F::kill_machine},
+      {"machines hang", {1, 14}, &F::hang_machines},
+      {"machines unreachable outbound", {1, 14}, &F::make_unreachable_outbound},
+      {"machines unreachable inbound", {1, 14}, &F::make_unreachable_inbound},
+      {"late duplicates of heartbeats", {4, 10}, &F::duplicate_heartbeats_late},
+      {"direct commands delayed", {4, 10}, &F::delay_commands},
+      {"cloud outage", {2, 10}, &F::stop_cloud},
+      {"jobs cancelled", {}, &F::cancel_jobs}};
   return all;
 }
 
-void FaultInjector::run() {
-  set_store_latency(kShareOfSlowAnswers, kSlowAnswerSeconds);
+void FaultInjector::start() {
+  set_store_latency(kSlowResponseShare, kSlowResponseMaxSeconds);
   if (lab_.plan.inject_faults) lab_.loop.spawn(inject_at_random());
 }
 
@@ -60,35 +63,35 @@
   co_await lab_.loop.sleep(kFirstFaultAt);
   while (lab_.now() < lab_.plan.fault_phase) {
     inject(faults().at(static_cast<std::size_t>(lab_.random_index(static_cast<int>(faults().size())))));
-    co_await lab_.loop.sleep(lab_.random_duration(kMinPauseSeconds, kMaxPauseSeconds));
+    co_await lab_.loop.sleep(lab_.random_duration(kMinFaultIntervalSeconds, kMaxFaultIntervalSeconds));
   }
-  // What still lasts ends by itself; machines that were lost stay so.
-  lab_.history.add("injector: the last fault was injected");
+  // Faults that are still active end by themselves; killed machines are not restarted.
+  lab_.history.add("injector: fault phase ended");
   set_store_latency(0, 0);
 }
 
 void FaultInjector::inject(const Fault& fault) {
   lab_.history.add(std::string("injector: ") + fault.name);
-  ++injected_;
-  for (Switch& set : (this->*fault.draw)()) {
-    set(true);
-    lab_.loop.spawn(end_later(draw(fault.duration), std::move(set)));
+  ++injected_faults_;
+  for (Switch& fault_switch : (this->*fault.make_switches)()) {
+    fault_switch(true);
+    lab_.loop.spawn(end_after(draw_duration(fault.duration), std::move(fault_switch)));
   }
 }
 
-io::Task<> FaultInjector::end_later(Micros delay, Switch set) {
+io::Task<> FaultInjector::end_after(Micros delay, Switch fault_switch) {
   co_await lab_.loop.sleep(delay);
-  set(false);
+  fault_switch(false);
 }
 
-Micros FaultInjector::draw(const Duration& duration) {
-  const bool brief = duration.share_of_brief > 0 && lab_.random_fraction() < duration.share_of_brief;
-  return lab_.random_duration(duration.min, brief ? kBriefSeconds : duration.max);
+Micros FaultInjector::draw_duration(const Duration& duration) {
+  const bool brief = duration.brief_share > 0 && lab_.random_fraction() < duration.brief_share;
+  return lab_.random_duration(duration.min_s, brief ? kBriefFaultMaxSeconds : duration.max_s);
 }
 
 // ---- controllers ---------------------------------------------------------------------------------
 
-FaultInjector::Switch FaultInjector::running_switch(int controller) {
+FaultInjector::Switch FaultInjector::crash_switch(int controller) {
   return [this, controller](bool on) {
     if (on)
       controllers_.kill(controller);
@@ -97,19 +100,19 @@
   };
 }
 
-std::vector<FaultInjector::Switch> FaultInjector::kill_one() {
-  return {running_switch(lab_.random_controller())};
+std::vector<FaultInjector::Switch> FaultInjector::kill_one_controller() {
+  return {crash_switch(lab_.random_controller())};
 }
 
-std::vector<FaultInjector::Switch> FaultInjector::kill_all() {
+std::vector<FaultInjector::Switch> FaultInjector::kill_all_controllers() {
   std::vector<Switch> all;
   all.reserve(kControllerCount);
   for (int controller = 0; controller < kControllerCount; ++controller)
-    all.push_back(running_switch(controller));
+    all.push_back(crash_switch(controller));
   return all;
 }
 
-std::vector<FaultInjector::Switch> FaultInjector::pause_one() {
+std::vector<FaultInjector::Switch> FaultInjector::pause_controller() {
   return {[this, controller = lab_.random_controller()](bool on) {
     if (on)
       controllers_.pause(controller);
@@ -124,7 +127,7 @@
   return {[this, from, to](bool on) { controllers_.link(from, to).to_server.held = on; }};
 }
 
-std::vector<FaultInjector::Switch> FaultInjector::refuse_peers() {
+std::vector<FaultInjector::Switch> FaultInjector::refuse_peer_connections() {
   return {[this](bool on) {
     for (int from = 0; from < kControllerCount; ++from)
       for (int to = 0; to < kControllerCount; ++to)
@@ -132,7 +135,7 @@
   }};
 }
 
-std::vector<FaultInjector::Switch> FaultInjector::isolate_with_workers() {
+std::vector<FaultInjector::Switch> FaultInjector::isolate_from_store_and_peers() {
   return {[this, controller = lab_.random_controller()](bool on) {
     store_.link(controller).to_server.held = on;
     store_.link(controller).to_client.held = on;
@@ -149,17 +152,17 @@
 void FaultInjector::set_store_latency(double share, double max_seconds) {
   for (int controller = 0; controller < kControllerCount; ++controller)
     store_.link(controller).to_client.latency = [this, share, max_seconds] {
-      return lab_.random_fraction() < share ? lab_.random_duration(kMinLatencySeconds, max_seconds)
+      return lab_.random_fraction() < share ? lab_.random_duration(kSlowResponseMinSeconds, max_seconds)
                                             : Micros{0};
     };
 }
 
-std::vector<FaultInjector::Switch> FaultInjector::slow_store_answers() {
+std::vector<FaultInjector::Switch> FaultInjector::slow_store_responses() {
   return {[this](bool on) {
     if (on)
-      set_store_latency(kShareInSlowSpell, kSlowSpellSeconds);
+      set_store_latency(kFaultSlowResponseShare, kFaultSlowResponseMaxSeconds);
     else
-      set_store_latency(kShareOfSlowAnswers, kSlowAnswerSeconds);
+      set_store_latency(kSlowResponseShare, kSlowResponseMaxSeconds);
   }};
 }
 
@@ -169,23 +172,23 @@
   }};
 }
 
-std::vector<FaultInjector::Switch> FaultInjector::hold_store_answers() {
+std::vector<FaultInjector::Switch> FaultInjector::hold_store_responses() {
   return {[this, controller = lab_.random_controller()](bool on) {
     store_.link(controller).to_client.held = on;
   }};
 }
 
-std::vector<FaultInjector::Switch> FaultInjector::refuse_at_store() {
+std::vector<FaultInjector::Switch> FaultInjector::refuse_store_requests() {
   return {[this, controller = lab_.random_controller()](bool on) { store_.set_refused(controller, on); }};
 }
 
-std::vector<FaultInjector::Switch> FaultInjector::store_outage() {
+std::vector<FaultInjector::Switch> FaultInjector::stop_store() {
   return {[this](bool on) { store_.set_outage(on); }};
 }
 
 // ---- machines, the cloud, users ------------------------------------------------------------------
 
-std::vector<FaultInjector::Switch> FaultInjector::cut_from_workers() {
+std::vector<FaultInjector::Switch> FaultInjector::block_heartbeats() {
   return {[this, controller = lab_.random_controller()](bool on) {
     workers_.set_heartbeats_blocked(controller, on);
   }};
@@ -198,10 +201,11 @@
   return {};
 }
 
-std::vector<FaultInjector::Switch> FaultInjector::on_some_machines(bool sim::SimulatedWorker::*flag) {
+std::vector<FaultInjector::Switch> FaultInjector::switches_for_some_machines(
+    bool sim::SimulatedWorker::*flag) {
   std::vector<Switch> switches;
   for (const std::string& name : workers_.running_machines()) {
-    if (lab_.random_fraction() > kShareOfMachines) continue;
+    if (lab_.random_fraction() > kMachineFaultProbability) continue;
     switches.emplace_back([this, name, flag](bool on) {
       if (sim::SimulatedWorker* worker = workers_.worker(name)) worker->*flag = on;
     });
@@ -210,31 +214,31 @@
 }
 
 std::vector<FaultInjector::Switch> FaultInjector::hang_machines() {
-  return on_some_machines(&sim::SimulatedWorker::hanging);
+  return switches_for_some_machines(&sim::SimulatedWorker::hanging);
 }
 
 std::vector<FaultInjector::Switch> FaultInjector::make_unreachable_outbound() {
-  return on_some_machines(&sim::SimulatedWorker::unreachable_outbound);
+  return switches_for_some_machines(&sim::SimulatedWorker::unreachable_outbound);
 }
 
 std::vector<FaultInjector::Switch> FaultInjector::make_unreachable_inbound() {
-  return on_some_machines(&sim::SimulatedWorker::unreachable_inbound);
+  return switches_for_some_machines(&sim::SimulatedWorker::unreachable_inbound);
 }
 
-std::vector<FaultInjector::Switch> FaultInjector::late_heartbeats() {
+std::vector<FaultInjector::Switch> FaultInjector::duplicate_heartbeats_late() {
   return {[this](bool on) { workers_.set_late_duplicate_heartbeats(on); }};
 }
 
-std::vector<FaultInjector::Switch> FaultInjector::late_commands() {
-  return {[this](bool on) { workers_.set_max_command_delay(on ? kLatestCommand : Micros{0}); }};
+std::vector<FaultInjector::Switch> FaultInjector::delay_commands() {
+  return {[this](bool on) { workers_.set_max_command_delay(on ? kMaxCommandDelay : Micros{0}); }};
 }
 
-std::vector<FaultInjector::Switch> FaultInjector::cloud_outage() {
+std::vector<FaultInjector::Switch> FaultInjector::stop_cloud() {
   return {[this](bool on) { workers_.set_cloud_outage(on); }};
 }
 
-std::vector<FaultInjector::Switch> FaultInjector::cancel_some() {
-  users_.cancel_some(1 + lab_.random_index(kMostCancelled));
+std::vector<FaultInjector::Switch> FaultInjector::cancel_jobs() {
+  users_.cancel_some(1 + lab_.random_index(kMaxCancelledJobs));
   return {};
 }
 
--- a/lab/fault_injector.h
+++ b/lab/fault_injector.h
@@ -1,4 +1,5 @@
-// Injects faults at random times, drawn from a seed. Each ends by itself within seconds.
+// Injects random faults at random times, drawn from the seed of the plan. Most end by themselves within
+// seconds; a killed machine and a cancelled job stay so.
 #pragma once
 
 #include <functional>
@@ -15,56 +16,61 @@
  public:
   FaultInjector(Laboratory& lab, Controllers& controllers, StoreServer& store, WorkerFleet& workers,
                 UserCrowd& users);
-  /// Injects faults for as long as the plan says, if it has any.
-  void run();
-  std::size_t injected() const { return injected_; }
+  /// Starts to inject faults until the end of the fault phase. A plan without faults still gets slow
+  /// responses of the key-value store.
+  void start();
+  std::size_t injected_faults() const { return injected_faults_; }
 
  private:
-  /// Begins a fault of some target with true, and ends it with false.
+  /// Starts a fault of one target if called with true, and ends it if called with false.
   using Switch = std::function<void(bool on)>;
-  /// How long a fault lasts, in seconds.
+  /// The range from which the duration of a fault is drawn.
   struct Duration {
-    double min = 0;
-    double max = 0;
-    double share_of_brief = 0;  ///< of the injections, which last for kBriefSeconds at most
+    double min_s = 0;
+    double max_s = 0;
+    double brief_share = 0;  ///< share of the faults that last at most kBriefFaultMaxSeconds
   };
   struct Fault {
     const char* name;
     Duration duration;
-    /// Draws the targets; each has a duration of its own.
-    std::vector<Switch> (FaultInjector::*draw)();
+    /// Returns a switch for each affected target; the duration is drawn for each of them separately. Empty if
+    /// the fault is not ended again or there is no target.
+    std::vector<Switch> (FaultInjector::*make_switches)();
   };
   static const std::vector<Fault>& faults();
 
   io::Task<> inject_at_random();
+  /// Starts a fault and schedules its end.
   void inject(const Fault& fault);
-  io::Task<> end_later(Micros delay, Switch set);
-  Micros draw(const Duration& duration);
+  io::Task<> end_after(Micros delay, Switch fault_switch);
+  Micros draw_duration(const Duration& duration);
 
-  std::vector<Switch> kill_one();
-  std::vector<Switch> kill_all();
-  std::vector<Switch> pause_one();
-  std::vector<Switch> slow_store_answers();
+  std::vector<Switch> kill_one_controller();
+  std::vector<Switch> kill_all_controllers();
+  std::vector<Switch> pause_controller();
+  std::vector<Switch> slow_store_responses();
   std::vector<Switch> hold_store_requests();
-  std::vector<Switch> hold_store_answers();
-  std::vector<Switch> refuse_at_store();
-  std::vector<Switch> store_outage();
+  std::vector<Switch> hold_store_responses();
+  std::vector<Switch> refuse_store_requests();
+  std::vector<Switch> stop_store();
   std::vector<Switch> hold_peer_messages();
-  std::vector<Switch> refuse_peers();
-  std::vector<Switch> isolate_with_workers();
-  std::vector<Switch> cut_from_workers();
+  std::vector<Switch> refuse_peer_connections();
+  std::vector<Switch> isolate_from_store_and_peers();
+  std::vector<Switch> block_heartbeats();
   std::vector<Switch> kill_machine();
   std::vector<Switch> hang_machines();
   std::vector<Switch> make_unreachable_outbound();
   std::vector<Switch> make_unreachable_inbound();
-  std::vector<Switch> late_heartbeats();
-  std::vector<Switch> late_commands();
-  std::vector<Switch> cloud_outage();
-  std::vector<Switch> cancel_some();
+  std::vector<Switch> duplicate_heartbeats_late();
+  std::vector<Switch> delay_commands();
+  std::vector<Switch> stop_cloud();
+  std::vector<Switch> cancel_jobs();
 
-  Switch running_switch(int controller);
-  /// Sets a flag of the workers of a share of the machines.
-  std::vector<Switch> on_some_machines(bool sim::SimulatedWorker::*flag);
+  /// Kills a controller and, at the end of the fault, starts it again.
+  Switch crash_switch(int controller);
+  /// Returns switches that set a flag of the workers on a random share of the machines.
+  std::vector<Switch> switches_for_some_machines(bool sim::SimulatedWorker::*flag);
+  /// Delays a share of the key-value store's responses by up to `max_seconds`.
   void set_store_latency(double share, double max_seconds);
 
   Laboratory& lab_;
@@ -72,7 +78,7 @@
   StoreServer& store_;
   WorkerFleet& workers_;
   UserCrowd& users_;
-  std::size_t injected_ = 0;
+  std::size_t injected_faults_ = 0;
 };
 
 }  // namespace bendtide::lab
--- a/lab/soak.cpp
+++ b/lab/soak.cpp
@@ -42,7 +42,7 @@
   workers_.start();
   controllers_.start_all();
   users_.run();
-  injector_.run();
+  injector_.start();
   lab_.loop.spawn(stop_at_the_end());
   lab_.loop.run();
   return judge();
@@ -102,9 +102,9 @@
 
 std::string Soak::summary() const {
   std::ostringstream text;
-  text << users_.accepted() << " of " << users_.submitted() << " jobs accepted, " << users_.answers()
-       << " answers and " << users_.refusals() << " refusals, " << injector_.injected() << " faults, in "
-       << in_seconds(lab_.now()) << " s";
+  text << users_.accepted() << " of " << users_.submitted() << " jobs accepted, "
+       << users_.answers() << " answers and " << users_.refusals() << " refusals, "
+       << injector_.injected_faults() << " faults, in " << in_seconds(lab_.now()) << " s";
   return text.str();
 }
 
