--- a/lab/fault_injector.cpp
+++ b/lab/fault_injector.cpp
@@ -238,7 +238,7 @@
 }
 
 std::vector<FaultInjector::Switch> FaultInjector::cancel_jobs() {
-  users_.cancel_some(1 + lab_.random_index(kMaxCancelledJobs));
+  users_.cancel_running_jobs(1 + lab_.random_index(kMaxCancelledJobs));
   return {};
 }
 
--- a/lab/soak.cpp
+++ b/lab/soak.cpp
@@ -41,7 +41,7 @@
   store_.start();
   workers_.start();
   controllers_.start_all();
-  users_.run();
+  users_.start();
   injector_.start();
   lab_.loop.spawn(stop_at_the_end());
   lab_.loop.run();
@@ -66,7 +66,7 @@
 
 bool Soak::has_ended() const {
   if (!lab_.plan.expected_rule.empty()) return lab_.checker.violations().contains(lab_.plan.expected_rule);
-  return lab_.now() >= lab_.plan.fault_phase && users_.unfinished().empty();
+  return lab_.now() >= lab_.plan.fault_phase && users_.unfinished_jobs().empty();
 }
 
 io::Task<> Soak::read_metrics(int controller) {
@@ -83,7 +83,7 @@
     verdict.broken_rules.push_back(rule);
     for (const std::string& what : cases) verdict.violations.push_back(labelled(rule, what));
   }
-  for (const std::string& what : users_.unfinished())
+  for (const std::string& what : users_.unfinished_jobs())
     verdict.violations.push_back(labelled("unfinished", what));
   if (controllers_.unexpected_exits() > 0)
     verdict.violations.push_back("unexpected exits of controllers: " +
@@ -102,8 +102,8 @@
 
 std::string Soak::summary() const {
   std::ostringstream text;
-  text << users_.accepted() << " of " << users_.submitted() << " jobs accepted, "
-       << users_.answers() << " answers and " << users_.refusals() << " refusals, "
+  text << users_.accepted_jobs() << " of " << users_.submitted_jobs() << " jobs accepted, "
+       << users_.responses() << " answers and " << users_.failed_requests() << " refusals, "
        << injector_.injected_faults() << " faults, in " << in_seconds(lab_.now()) << " s";
   return text.str();
 }
--- a/lab/user_crowd.cpp
+++ b/lab/user_crowd.cpp
@@ -12,17 +12,17 @@
 
 namespace {
 
-constexpr Micros kSubmitWithin = seconds(5);
-constexpr Micros kPollWithin = seconds(2);
-constexpr Micros kPollEvery = seconds(2);
-constexpr Micros kPollFinalEvery = seconds(5);
-constexpr Micros kRetryAfter = seconds(1);
-constexpr Micros kCheckRunningEvery = millis(20);
-constexpr Micros kGiveUpAfter = seconds(60);
-constexpr double kShareImpatient = 0.5;
-constexpr double kShareCancelled = 0.5;    ///< of the jobs of impatient users
-constexpr double kActWithinSeconds = 0.3;  ///< after the acceptance
-constexpr double kShareOfServices = 0.1;
+constexpr Micros kSubmitTimeout = seconds(5);
+constexpr Micros kPollTimeout = seconds(2);
+constexpr Micros kPollInterval = seconds(2);
+constexpr Micros kFinalPollInterval = seconds(5);
+constexpr Micros kRetryInterval = seconds(1);
+constexpr Micros kRunningCheckInterval = millis(20);
+constexpr Micros kSubmitRetryLimit = seconds(60);
+constexpr double kImpatientUserShare = 0.5;
+constexpr double kCancellingUserShare = 0.5;    ///< of the impatient users
+constexpr double kMaxActionDelaySeconds = 0.3;  ///< after the job was accepted or seen running
+constexpr double kServiceShare = 0.1;
 const std::string kUnknownJob = "run-7";
 
 std::optional<JobPhase> phase_of(const std::string& text) {
@@ -35,12 +35,12 @@
 
 }  // namespace
 
-void UserCrowd::run() {
-  lab_.loop.spawn(arrive());
+void UserCrowd::start() {
+  lab_.loop.spawn(generate_users());
   lab_.loop.spawn(poll_unknown_job());
 }
 
-io::Task<> UserCrowd::arrive() {
+io::Task<> UserCrowd::generate_users() {
   co_await lab_.loop.sleep(seconds(3));
   while (lab_.now() < lab_.plan.fault_phase) {
     users_.push_back(std::make_unique<User>());
@@ -48,7 +48,7 @@
     user.spec = draw_spec();
     lab_.job_specs[user.spec.id] = user.spec;
     lab_.checker.submitted(user.spec);
-    lab_.loop.spawn(live(user));
+    lab_.loop.spawn(run_user(user));
     co_await lab_.loop.sleep(lab_.random_duration(0, 2 / lab_.plan.jobs_per_second));
   }
 }
@@ -61,7 +61,7 @@
   spec.image = "image-" + std::to_string(lab_.random_index(3));
   spec.image_gb = 1;
   spec.each = {2000, 0, 4000};
-  if (lab_.random_fraction() < kShareOfServices) {
+  if (lab_.random_fraction() < kServiceShare) {
     spec.shape = Shape::service;
     spec.tasks = 1;
     spec.priority = Priority::high;
@@ -80,15 +80,15 @@
 
 // ---- one user ------------------------------------------------------------------------------------
 
-io::Task<> UserCrowd::live(User& user) {
+io::Task<> UserCrowd::run_user(User& user) {
   const bool accepted = co_await submit(user);
   if (!accepted) co_return;
-  if (lab_.random_fraction() < kShareImpatient) lab_.loop.spawn(act_at_acceptance(user));
+  if (lab_.random_fraction() < kImpatientUserShare) lab_.loop.spawn(act_at_acceptance(user));
   if (cancels_once_running()) lab_.loop.spawn(cancel_once_running(user));
   while (!lab_.closing) {
     const int controller = lab_.random_controller();
-    co_await poll_at(user, controller);
-    const Micros pause = user.answered_final ? kPollFinalEvery : kPollEvery;
+    co_await poll(user, controller);
+    const Micros pause = user.saw_final_phase ? kFinalPollInterval : kPollInterval;
     co_await lab_.loop.sleep(pause);
   }
 }
@@ -97,51 +97,49 @@
   const Micros since = lab_.now();
   JobSpec sent = user.spec;
   if (lab_.plan.planted_defect == PlantedDefect::misplace) sent.zone.reset();
-  while (lab_.now() - since < kGiveUpAfter && !lab_.closing) {
-    const Micros asked_at = lab_.now();
-    Request request{user.spec.id, "POST", kJobsPath, wire::body_of(sent), lab_.random_controller(),
-                    kSubmitWithin};
-    const Answer answer = co_await send(std::move(request));
-    if (answer.status == 200 || answer.status == 201) {
+  while (lab_.now() - since < kSubmitRetryLimit && !lab_.closing) {
+    const Micros sent_at = lab_.now();
+    Request request{user.spec.id,  "POST", kJobsPath, wire::body_of(sent), lab_.random_controller(),
+                    kSubmitTimeout};
+    const Response response = co_await send(std::move(request));
+    if (response.status == 200 || response.status == 201) {
       user.accepted = true;
       lab_.checker.accepted(user.spec.id, lab_.now());
-      record_answer(user, answer, asked_at);
+      record_response(user, response, sent_at);
       co_return true;
     }
-    co_await lab_.loop.sleep(kRetryAfter);
+    co_await lab_.loop.sleep(kRetryInterval);
   }
   co_return false;
 }
 
-/// Polls all controllers, submits once more, and perhaps cancels, all within a fraction of a second.
 io::Task<> UserCrowd::act_at_acceptance(User& user) {
-  poll_everywhere(user);
-  lab_.loop.spawn(submit_again(user));
-  const Micros delay = lab_.random_duration(0, kActWithinSeconds);
-  if (!cancels_once_running() && lab_.random_fraction() < kShareCancelled) co_await cancel(user, delay);
+  poll_all_controllers(user);
+  lab_.loop.spawn(resubmit(user));
+  const Micros delay = lab_.random_duration(0, kMaxActionDelaySeconds);
+  if (!cancels_once_running() && lab_.random_fraction() < kCancellingUserShare) co_await cancel(user, delay);
 }
 
-/// The loss of stop commands shows only in jobs that are cancelled while they run.
 bool UserCrowd::cancels_once_running() const {
   return lab_.plan.planted_defect == PlantedDefect::keep_cancelled;
 }
 
 io::Task<> UserCrowd::cancel_once_running(User& user) {
   while (!lab_.closing && !lab_.checker.is_running(user.spec.id)) {
-    if (user.answered_final) co_return;
-    co_await lab_.loop.sleep(kCheckRunningEvery);
+    if (user.saw_final_phase) co_return;
+    co_await lab_.loop.sleep(kRunningCheckInterval);
   }
-  const Micros delay = lab_.random_duration(0, kActWithinSeconds);
+  const Micros delay = lab_.random_duration(0, kMaxActionDelaySeconds);
   co_await cancel(user, delay);
 }
 
-io::Task<> UserCrowd::submit_again(User& user) {
-  co_await lab_.loop.sleep(lab_.random_duration(0, kActWithinSeconds));
-  const Micros asked_at = lab_.now();
-  Request request{user.spec.id, "POST", kJobsPath, wire::body_of(user.spec), lab_.random_controller(),
-                  kSubmitWithin};
-  const Answer answer = co_await send(std::move(request));
-  record_answer(user, answer, asked_at);
+io::Task<> UserCrowd::resubmit(User& user) {
+  co_await lab_.loop.sleep(lab_.random_duration(0, kMaxActionDelaySeconds));
+  const Micros sent_at = lab_.now();
+  Request request{user.spec.id,  "POST", kJobsPath, wire::body_of(user.spec), lab_.random_controller(),
+                  kSubmitTimeout};
+  const Response response = co_await send(std::move(request));
+  record_response(user, response, sent_at);
 }
 
 io::Task<> UserCrowd::cancel(User& user, Micros delay) {
@@ -149,24 +147,24 @@
   co_await lab_.loop.sleep(delay);
   lab_.checker.cancel_requested(user.spec.id);
   while (!lab_.closing) {
-    const Micros asked_at = lab_.now();
+    const Micros sent_at = lab_.now();
     Request request{
-        user.spec.id, "POST", job_target(user.spec.id) + kCancelSuffix, "{}", lab_.random_controller(),
-        kSubmitWithin};
-    const Answer answer = co_await send(std::move(request));
-    record_answer(user, answer, asked_at);
-    if (answer.status == 200 && is_final(answer.phase)) {
-      poll_everywhere(user);
+        user.spec.id,  "POST", job_target(user.spec.id) + kCancelSuffix, "{}", lab_.random_controller(),
+        kSubmitTimeout};
+    const Response response = co_await send(std::move(request));
+    record_response(user, response, sent_at);
+    if (response.status == 200 && is_final(response.phase)) {
+      poll_all_controllers(user);
       co_return;
     }
-    co_await lab_.loop.sleep(kRetryAfter);
+    co_await lab_.loop.sleep(kRetryInterval);
   }
 }
 
-void UserCrowd::cancel_some(int count) {
+void UserCrowd::cancel_running_jobs(int count) {
   for (const auto& user : users_) {
     if (count <= 0) return;
-    if (!user->accepted || user->answered_final || user->cancelling ||
+    if (!user->accepted || user->saw_final_phase || user->cancelling ||
         !lab_.checker.is_running(user->spec.id))
       continue;
     --count;
@@ -174,101 +172,103 @@
   }
 }
 
-void UserCrowd::poll_everywhere(User& user) {
-  for (int i = 0; i < kControllerCount; ++i) lab_.loop.spawn(poll_at(user, i));
+void UserCrowd::poll_all_controllers(User& user) {
+  for (int i = 0; i < kControllerCount; ++i) lab_.loop.spawn(poll(user, i));
 }
 
-io::Task<> UserCrowd::poll_at(User& user, int controller) {
-  const Micros asked_at = lab_.now();
-  Request request{user.spec.id, "GET", job_target(user.spec.id), "", controller, kPollWithin};
-  const Answer received = co_await send(std::move(request));
-  const Answer answer = with_planted_defect(user, received);
-  if (is_refusal(answer)) {
+io::Task<> UserCrowd::poll(User& user, int controller) {
+  const Micros sent_at = lab_.now();
+  Request request{user.spec.id, "GET", job_target(user.spec.id), "", controller, kPollTimeout};
+  const Response received = co_await send(std::move(request));
+  const Response response = with_planted_defect(user, received);
+  if (is_failure(response)) {
     lab_.checker.unanswered(user.spec.id, lab_.now());
     co_return;
   }
-  record_answer(user, answer, asked_at);
+  record_response(user, response, sent_at);
 }
 
-void UserCrowd::record_answer(User& user, const Answer& answer, Micros asked_at) {
-  if (is_refusal(answer)) return;
-  lab_.checker.answered(user.spec.id, answer.status, answer.phase, asked_at, lab_.now());
-  if (answer.status != 200) return;
-  user.last_phase = answer.phase;
-  user.answered_final |= is_final(answer.phase);
+void UserCrowd::record_response(User& user, const Response& response, Micros sent_at) {
+  if (is_failure(response)) return;
+  lab_.checker.answered(user.spec.id, response.status, response.phase, sent_at, lab_.now());
+  if (response.status != 200) return;
+  user.last_seen_phase = response.phase;
+  user.saw_final_phase |= is_final(response.phase);
 }
 
 io::Task<> UserCrowd::poll_unknown_job() {
   while (!lab_.closing) {
     co_await lab_.loop.sleep(seconds(5));
-    const Micros asked_at = lab_.now();
-    Request request{kUnknownJob, "GET", job_target(kUnknownJob), "", lab_.random_controller(), kPollWithin};
-    Answer answer = co_await send(std::move(request));
-    if (lab_.plan.planted_defect == PlantedDefect::invent_jobs && answer.status == 404) answer.status = 200;
-    lab_.checker.answered(kUnknownJob, answer.status, answer.phase, asked_at, lab_.now());
+    const Micros sent_at = lab_.now();
+    Request request{kUnknownJob, "GET", job_target(kUnknownJob), "", lab_.random_controller(), kPollTimeout};
+    Response response = co_await send(std::move(request));
+    if (lab_.plan.planted_defect == PlantedDefect::invent_jobs && response.status == 404)
+      response.status = 200;
+    lab_.checker.answered(kUnknownJob, response.status, response.phase, sent_at, lab_.now());
   }
 }
 
-// ---- requests and answers -----------------------------------------------------------------------
+// ---- requests and responses -----------------------------------------------------------------------
 
-io::Task<UserCrowd::Answer> UserCrowd::send(Request request) {
-  const Micros asked_at = lab_.now();
+io::Task<UserCrowd::Response> UserCrowd::send(Request request) {
+  const Micros sent_at = lab_.now();
   HttpCall call{lab_.address(Laboratory::user_port(request.controller)), request.method, request.target,
-                std::move(request.body), request.within};
+                std::move(request.body), request.timeout};
   const io::HttpClient::Result result = co_await perform(lab_.loop, std::move(call));
-  const Answer answer = read(request.job, result);
-  if (is_refusal(answer))
-    ++refusals_;
+  const Response response = parse_response(request.job, result);
+  if (is_failure(response))
+    ++failed_requests_;
   else
-    ++answers_;
+    ++responses_;
   lab_.history.add(request.job + ": " + request.method + " " + request.target + " at " +
-                   Laboratory::host_name(request.controller) + " -> " + std::to_string(answer.status) + " " +
-                   to_text(answer.phase) + " after " +
-                   std::to_string((lab_.now() - asked_at).count() / 1000) + " ms");
-  co_return answer;
+                   Laboratory::host_name(request.controller) + " -> " + std::to_string(response.status) +
+                   " " + to_text(response.phase) + " after " +
+                   std::to_string((lab_.now() - sent_at).count() / 1000) + " ms");
+  co_return response;
 }
 
-UserCrowd::Answer UserCrowd::read(const std::string& id, const io::HttpClient::Result& result) const {
-  Answer answer{result.status, JobPhase::pending};
-  if (result.status != 200 && result.status != 201) return answer;
+UserCrowd::Response UserCrowd::parse_response(const std::string& id,
+                                              const io::HttpClient::Result& result) const {
+  Response response{result.status, JobPhase::pending};
+  if (result.status != 200 && result.status != 201) return response;
   const json body = json::parse(result.body, nullptr, false);
   const std::optional<JobPhase> phase =
       body.is_object() ? phase_of(body.value(kPhase, std::string())) : std::nullopt;
-  // An answer that can't be read, or that is about another job, counts as none.
+  // An unreadable response, or one about another job, counts as no response.
   if (!phase || body.value(kUid, std::string()) != id) return {};
-  answer.phase = *phase;
-  return answer;
+  response.phase = *phase;
+  return response;
 }
 
-UserCrowd::Answer UserCrowd::with_planted_defect(const User& user, Answer answer) const {
-  if (answer.status != 200) return answer;
+UserCrowd::Response UserCrowd::with_planted_defect(const User& user, Response response) const {
+  if (response.status != 200) return response;
   const PlantedDefect planted = lab_.plan.planted_defect;
-  if (planted == PlantedDefect::deny_jobs) answer.status = 404;
-  if (planted == PlantedDefect::call_done_early && answer.phase == JobPhase::running)
-    answer.phase = JobPhase::done;
-  if (planted == PlantedDefect::take_back && answer.phase == JobPhase::done &&
-      user.last_phase == JobPhase::done)
-    answer.phase = JobPhase::running;
-  return answer;
+  if (planted == PlantedDefect::deny_jobs) response.status = 404;
+  if (planted == PlantedDefect::call_done_early && response.phase == JobPhase::running)
+    response.phase = JobPhase::done;
+  if (planted == PlantedDefect::take_back && response.phase == JobPhase::done &&
+      user.last_seen_phase == JobPhase::done)
+    response.phase = JobPhase::running;
+  return response;
 }
 
-// ---- the end -------------------------------------------------------------------------------------
+// ---- results -------------------------------------------------------------------------------------
 
-std::size_t UserCrowd::accepted() const {
+std::size_t UserCrowd::accepted_jobs() const {
   return static_cast<std::size_t>(
       std::count_if(users_.begin(), users_.end(), [](const auto& user) { return user->accepted; }));
 }
 
-std::vector<std::string> UserCrowd::unfinished() const {
+std::vector<std::string> UserCrowd::unfinished_jobs() const {
   std::vector<std::string> out;
   for (const auto& user : users_) {
     const std::string& id = user->spec.id;
     if (!user->accepted)
-      out.push_back(id + " was not accepted");
+      out.push_back(id + ": not accepted");
     else if (user->spec.shape == Shape::service && !user->cancelling && !lab_.checker.is_running(id))
-      out.push_back(id + " does not run");
-    else if ((user->spec.shape == Shape::array || user->cancelling) && !user->answered_final)
-      out.push_back(id + " is not over");
+      out.push_back(id + ": service not running");
+    else if ((user->spec.shape == Shape::array || user->cancelling) && !user->saw_final_phase)
+      out.push_back(id + ": no final state reported");
   }
   return out;
 }
--- a/lab/user_crowd.h
+++ b/lab/user_crowd.h
@@ -1,5 +1,5 @@
-// Users: they submit, poll, submit again and cancel, some of them at the moment of acceptance, and tell the
-// checker what they are answered.
+// Simulated users, which submit, poll, resubmit and cancel jobs, some of them right after the acceptance, and
+// report the responses to the checker.
 #pragma once
 
 #include <memory>
@@ -11,67 +11,83 @@
 
 namespace bendtide::lab {
 
-/// A new user arrives at random times until the faults end; each submits one job and polls until the
-/// laboratory closes.
+/// Adds users at random times until the end of the fault phase. Each user submits one job and polls it until
+/// the soak ends.
 class UserCrowd {
  public:
   explicit UserCrowd(Laboratory& lab) : lab_(lab) {}
-  void run();
+  /// Starts to add users.
+  void start();
 
-  /// Users of up to `count` running jobs cancel them within a fifth of a second.
-  void cancel_some(int count);
-  /// What should have been reached by the end and was not.
-  std::vector<std::string> unfinished() const;
-  std::size_t submitted() const { return users_.size(); }
-  std::size_t accepted() const;
-  std::size_t answers() const { return answers_; }
-  std::size_t refusals() const { return refusals_; }
+  /// Lets the users of up to `count` running jobs cancel them within 0.2 s.
+  void cancel_running_jobs(int count);
+  /// Describes each job that is not in the state that it must have at the end of a soak: submissions are
+  /// accepted, services run, and arrays and cancelled jobs are known to their users as final.
+  std::vector<std::string> unfinished_jobs() const;
+  std::size_t submitted_jobs() const { return users_.size(); }
+  std::size_t accepted_jobs() const;
+  std::size_t responses() const { return responses_; }
+  /// Number of requests without a usable response: timeouts, failed connections and status 503.
+  std::size_t failed_requests() const { return failed_requests_; }
 
  private:
   struct User {
     JobSpec spec;
     bool accepted = false;
     bool cancelling = false;
-    bool answered_final = false;         ///< that the job is done or cancelled
-    std::optional<JobPhase> last_phase;  ///< that they were answered
+    bool saw_final_phase = false;             ///< a response told the user that the job is done or cancelled
+    std::optional<JobPhase> last_seen_phase;  ///< in the last successful response
   };
-  struct Answer {
+  struct Response {
     int status = 0;
     JobPhase phase = JobPhase::pending;
   };
 
-  io::Task<> arrive();
+  io::Task<> generate_users();
+  /// Returns a random job.
   JobSpec draw_spec();
-  io::Task<> live(User& user);
+  /// Submits the user's job and polls it until the soak ends.
+  io::Task<> run_user(User& user);
+  /// Retries until the job is accepted (true), or gives up after kSubmitRetryLimit or at the end of the soak
+  /// (false).
   io::Task<bool> submit(User& user);
+  /// Polls all controllers, resubmits and perhaps cancels, all within kMaxActionDelaySeconds.
   io::Task<> act_at_acceptance(User& user);
+  /// Whether users cancel their jobs once they run: only then does the loss of stop commands have an effect.
   bool cancels_once_running() const;
   io::Task<> cancel_once_running(User& user);
-  io::Task<> submit_again(User& user);
+  io::Task<> resubmit(User& user);
+  /// Cancels after a delay; retries until a response calls the job done or cancelled.
   io::Task<> cancel(User& user, Micros delay);
-  io::Task<> poll_at(User& user, int controller);
+  io::Task<> poll(User& user, int controller);
+  /// Polls a job that was never submitted, regularly.
   io::Task<> poll_unknown_job();
-  void poll_everywhere(User& user);
-  void record_answer(User& user, const Answer& answer, Micros asked_at);
-  static bool is_refusal(const Answer& answer) { return answer.status == 0 || answer.status == 503; }
+  void poll_all_controllers(User& user);
+  /// Reports a response to the checker, unless the request failed.
+  void record_response(User& user, const Response& response, Micros sent_at);
+  /// Whether a request got no usable response.
+  static bool is_failure(const Response& response) { return response.status == 0 || response.status == 503; }
   struct Request {
     std::string job;
     std::string method;
     std::string target;
     std::string body;
     int controller = 0;
-    Micros within{0};
+    Micros timeout{0};
   };
-  /// Sends a request to one controller. Status 0: not answered in time. Callers name the request, as GCC 12
-  /// destroys some temporaries of a co_await expression twice.
-  io::Task<Answer> send(Request request);
-  Answer read(const std::string& id, const io::HttpClient::Result& result) const;
-  Answer with_planted_defect(const User& user, Answer answer) const;
+  /// Sends a request to one controller. Returns status 0 if there is no readable response in time. Callers
+  /// move a named Request into `request` instead of passing a temporary, because GCC 12 destroys some
+  /// temporaries of a co_await expression twice.
+  io::Task<Response> send(Request request);
+  /// Parses a response; status 0 if it can't be read or is about a job other than `id`.
+  Response parse_response(const std::string& id, const io::HttpClient::Result& result) const;
+  /// Returns `response`, or what the planted defect makes of it.
+  Response with_planted_defect(const User& user, Response response) const;
 
   Laboratory& lab_;
   std::vector<std::unique_ptr<User>> users_;
-  std::size_t answers_ = 0;
-  std::size_t refusals_ = 0;
+  std::size_t responses_ = 0;
+  std::size_t failed_requests_ = 0;
 };
 
 }  // namespace bendtide::lab
