--- a/lab/soak.h
+++ b/lab/soak.h
@@ -1,5 +1,6 @@
-// One soak: three controllers as real processes on loopback, simulated services and workers, faults drawn
-// from a seed, and the rules of the protocol checked from outside.
+// A soak test: three controllers run as real processes on loopback, with simulated services and workers and
+// random faults drawn from a seed. The checker verifies the rules of the protocol from outside the
+// controllers.
 #pragma once
 
 #include <memory>
@@ -15,30 +16,31 @@
 
 namespace bendtide::lab {
 
-/// The result of a soak.
-struct Verdict {
-  std::vector<std::string> violations;  ///< one line for each; none: the soak has passed
-  std::vector<std::string> broken_rules;
-  std::string summary;  ///< what was done, in one line
+struct SoakResult {
+  std::vector<std::string> violations;      ///< one line for each; empty if the soak has passed
+  std::vector<std::string> violated_rules;  ///< names of the checker's rules
+  std::string summary;                      ///< one line with the counts of jobs, requests and faults
 };
 
-/// One run: builds everything in its constructor, and judges it at its end.
+/// The constructor creates all components; run() runs them once and collects the result.
 class Soak {
  public:
   explicit Soak(const Plan& plan);
-  /// Runs for the time that the plan says; to be called once.
-  Verdict run();
-  /// Prints the events that name `subject`; with an empty one, all.
+  /// Returns when all work is done after the fault phase, or at the end of the settle timeout. May be called
+  /// only once.
+  SoakResult run();
+  /// Prints the events whose description contains `subject`, or all events if it is empty.
   void print_history(std::ostream& out, const std::string& subject) const {
     lab_.history.print(out, subject);
   }
 
  private:
-  io::Task<> stop_at_the_end();
+  /// Runs the periodic checks and, at the end, reads the metrics and stops the loop.
+  io::Task<> run_checks_until_end();
   io::Task<> read_metrics(int controller);
-  /// All work is done; or the planted defect has been found, for which all of the time is used otherwise.
-  bool has_ended() const;
-  Verdict judge();
+  /// Whether the soak can end early: all work is done, or, if a violation is expected, it has been detected.
+  bool is_finished() const;
+  SoakResult collect_result();
   std::string summary() const;
 
   Laboratory lab_;
--- a/lab/soak_main.cpp
+++ b/lab/soak_main.cpp
@@ -14,13 +14,13 @@
 namespace {
 
 using bendtide::lab::PlantedDefect;
-using bendtide::lab::Verdict;
+using bendtide::lab::SoakResult;
 
-constexpr std::size_t kViolationsShown = 20;  ///< the rest is counted
-// Where no port is given, the process takes one of so many ranges.
+constexpr std::size_t kMaxPrintedViolations = 20;  ///< the total is printed as well
+// Without --port, the process id selects one of these ranges of ports.
 constexpr int kFirstPort = 10'000;
 constexpr int kPortRanges = 400;
-constexpr int kPortsInRange = 40;
+constexpr int kPortsPerRange = 40;
 
 const std::map<std::string, PlantedDefect>& planted_defects() {
   static const std::map<std::string, PlantedDefect> all{{"none", PlantedDefect::none},
@@ -50,7 +50,7 @@
   int base_port = 0;
 };
 
-bendtide::lab::Plan plan_of(const Options& options) {
+bendtide::lab::Plan make_plan(const Options& options) {
   bendtide::lab::Plan plan;
   plan.seed = options.seed;
   plan.fault_phase = bendtide::seconds(options.duration);
@@ -63,69 +63,76 @@
   plan.program = options.program;
   plan.directory = options.directory;
   plan.base_port =
-      options.base_port != 0 ? options.base_port : kFirstPort + ::getpid() % kPortRanges * kPortsInRange;
+      options.base_port != 0 ? options.base_port : kFirstPort + ::getpid() % kPortRanges * kPortsPerRange;
   return plan;
 }
 
-/// Prints the result and returns the exit status. With --expect, 0 if the planted defect violated that rule.
-int print_result(const Options& options, const Verdict& verdict, const bendtide::lab::Soak& soak) {
-  std::cout << "seed " << options.seed << ": " << verdict.summary << "\n";
+/// Prints the result and returns the exit status. With --expect, that is 0 if the expected rule was violated.
+/// Without it, 0 if there is no violation; then the directory is removed. Otherwise the history is written
+/// there.
+int print_result(const Options& options, const SoakResult& result, const bendtide::lab::Soak& soak) {
+  std::cout << "seed " << options.seed << ": " << result.summary << "\n";
   if (!options.expect.empty()) {
-    const bool seen =
-        std::count(verdict.broken_rules.begin(), verdict.broken_rules.end(), options.expect) > 0;
-    std::cout << options.planted << (seen ? " is seen as " : " is NOT seen as ") << options.expect << "\n";
-    return seen ? 0 : 1;
+    const bool detected =
+        std::count(result.violated_rules.begin(), result.violated_rules.end(), options.expect) > 0;
+    std::cout << options.planted << (detected ? " violates the rule " : " does NOT violate the rule ")
+              << options.expect << "\n";
+    return detected ? 0 : 1;
   }
-  if (verdict.violations.empty()) {
+  if (result.violations.empty()) {
     std::cout << "no rule violated, all work done\n";
     std::filesystem::remove_all(options.directory);
     return 0;
   }
-  for (std::size_t i = 0; i < std::min(kViolationsShown, verdict.violations.size()); ++i)
-    std::cout << "VIOLATION " << verdict.violations[i] << "\n";
+  for (std::size_t i = 0; i < std::min(kMaxPrintedViolations, result.violations.size()); ++i)
+    std::cout << "VIOLATION " << result.violations[i] << "\n";
   const std::string history = options.directory + "/history.txt";
   std::ofstream out(history);
   soak.print_history(out, "");
-  std::cout << verdict.violations.size() << " violations. Logs and history: " << options.directory
-            << "\nrun it again: bendtide_soak --program " << options.program << " --seed " << options.seed
-            << " --duration " << options.duration << " --settle " << options.settle << " --machines "
-            << options.machines << " --rate " << options.rate << "\n";
+  std::cout << result.violations.size() << " violations; logs and history are in " << options.directory
+            << "\nto repeat the soak: bendtide_soak --program " << options.program << " --seed "
+            << options.seed << " --duration " << options.duration << " --settle " << options.settle
+            << " --machines " << options.machines << " --rate " << options.rate << "\n";
   return 1;
 }
 
 }  // namespace
 
-int main(int argc, char** argv) {  // NOLINT(bugprone-exception-escape): ends the program with its message
+int main(int argc, char** argv) {  // NOLINT(bugprone-exception-escape): exceptions end the program
   Options options;
-  CLI::App app{"bendtide_soak: three controllers on loopback under random faults, every rule checked"};
-  app.add_option("--program", options.program, "the controller to be tried")->required();
-  app.add_option("--seed", options.seed, "from which the faults and the users' jobs are drawn");
-  app.add_option("--duration", options.duration, "seconds in which faults are injected and users submit");
-  app.add_option("--settle", options.settle, "seconds after that until all work has to be done, at most");
-  app.add_option("--machines", options.machines, "how many the cloud has");
-  app.add_option("--rate", options.rate, "jobs a second");
+  CLI::App app{
+      "bendtide_soak: runs three controllers on loopback under random faults and checks the rules of the "
+      "protocol"};
+  app.add_option("--program", options.program, "path of the controller executable")->required();
+  app.add_option("--seed", options.seed, "seed for the random faults and jobs");
+  app.add_option("--duration", options.duration,
+                 "seconds during which faults are injected and jobs submitted");
+  app.add_option("--settle", options.settle, "limit in seconds for finishing all work after that");
+  app.add_option("--machines", options.machines, "capacity of the cloud in machines");
+  app.add_option("--rate", options.rate, "submitted jobs per second");
   app.add_option("--port", options.base_port,
-                 "the first of 40 ports; without it, one drawn from the process");
-  app.add_option("--directory", options.directory, "for settings and logs; kept if there is a violation");
-  app.add_flag("--no-faults", options.no_faults, "nothing goes wrong but what is planted");
+                 "first of 40 consecutive ports; by default derived from the process id");
+  app.add_option("--directory", options.directory,
+                 "directory for settings and logs; kept if there is a violation");
+  app.add_flag("--no-faults", options.no_faults, "inject no faults other than the planted defect");
   app.add_option("--planted", options.planted,
-                 "a defect of the simulated services, to show that a checker finds it")
+                 "defect of the simulated services that the checker must detect")
       ->check(CLI::IsMember(planted_defects()));
-  app.add_option("--expect", options.expect, "the rule that the planted defect has to violate");
+  app.add_option("--expect", options.expect, "rule that the planted defect must violate");
   CLI11_PARSE(app, argc, argv);
   if (options.directory.empty())
     options.directory = std::filesystem::temp_directory_path() / ("soak-" + std::to_string(::getpid()));
   int status = 1;
   try {
     std::filesystem::create_directories(options.directory);
-    bendtide::lab::Soak soak(plan_of(options));
-    const Verdict verdict = soak.run();
-    status = print_result(options, verdict, soak);
+    bendtide::lab::Soak soak(make_plan(options));
+    const SoakResult result = soak.run();
+    status = print_result(options, result, soak);
   } catch (const std::exception& e) {
     std::cerr << "bendtide_soak: " << e.what() << "\n";
   }
-  // Coroutines that still wait as the loop stops are never resumed, nor destroyed: to the checker of leaks
-  // they would look like ones.
+  // Coroutines that are suspended when the loop stops are never destroyed. A normal exit would make the leak
+  // sanitizer report them.
   std::cout.flush();
   std::quick_exit(status);
 }
--- a/lab/user_crowd.h
+++ b/lab/user_crowd.h
@@ -53,7 +53,8 @@
   io::Task<bool> submit(User& user);
   /// Polls all controllers, resubmits and perhaps cancels, all within kMaxActionDelaySeconds.
   io::Task<> act_at_acceptance(User& user);
-  /// Whether users cancel their jobs once they run: only then does the loss of stop commands have an effect.
+  /// Whether every user cancels the job once it runs. True with the defect keep_cancelled: lost stop commands
+  /// have an effect only on jobs that are cancelled while they run.
   bool cancels_once_running() const;
   io::Task<> cancel_once_running(User& user);
   io::Task<> resubmit(User& user);
