--- a/tests/run_test.sh
+++ b/tests/run_test.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# tests/run against a ctest of our own, which lists three tests and fails those named in RED.
+# Tests tests/run with a fake ctest that lists three tests and reports those in RED as failed. With
+# RED=nameless it fails without listing a test.
 set -uo pipefail
 here=$(cd "$(dirname "$0")" && pwd)
 work=$(mktemp -d)
@@ -18,13 +19,14 @@
 chmod +x "$work/bin/ctest"
 
 bad=0
-# expect STATUS WORDS KNOWN-RED FAILING
+# expect STATUS TEXT KNOWN_RED FAILED: runs tests/run with the contents KNOWN_RED of KNOWN-RED.txt and the
+# failed tests FAILED; expects its exit status and a text in its output.
 expect() {
   printf "$3" >"$work/known"
   out=$(PATH="$work/bin:$PATH" RED="$4" BUILD="$work/build" KNOWN_RED="$work/known" "$here/run" "$work/build" 2>&1)
   status=$?
   if [ $status -ne "$1" ] || ! grep -qF -- "$2" <<<"$out"; then
-    echo "known red '$3', failing '$4': exit $status with '$out', expected $1 with '$2'"
+    echo "KNOWN-RED.txt '$3', failed tests '$4': exit status $status and output '$out'; expected $1 and '$2'"
     bad=1
   fi
 }
@@ -34,7 +36,7 @@
 expect 0 "known red, passes: One" "One: a cause (issue 1)\n" ""
 expect 0 "known red, fails: Many/Two.Three/4" "Many/Two.Three/4: c (issue 1)\n" "2:Many/Two.Three/4  # GetParam() = 4\n"
 expect 1 "known red, fails: One" "One: a cause (issue 1)\n" "1:One\n3:Five\n"
-expect 1 "names no test: Six" "Six: a cause (issue 1)\n" ""
-expect 1 "three at most" "One: c (issue 1)\nFive: c (issue 1)\nOne: c (issue 1)\nFive: c (issue 1)\n" ""
+expect 1 "lists an unknown test: Six" "Six: a cause (issue 1)\n" ""
+expect 1 "at most three are allowed" "One: c (issue 1)\nFive: c (issue 1)\nOne: c (issue 1)\nFive: c (issue 1)\n" ""
 expect 1 "" "One: a cause (issue 1)\n" "nameless"
 exit $bad
