--- a/lab/fault_injector.cpp
+++ b/lab/fault_injector.cpp
@@ -7,8 +7,8 @@
 // Latency of the key-value store while no fault slows it.
 constexpr double kSlowResponseShare = 0.04;
 constexpr double kSlowResponseMaxSeconds = 0.4;
-// Latency of the key-value store while a fault slows it: shorter than the controllers' request timeout of 1
-// s.
+// Latency of the key-value store while a fault slows it. It stays below the controllers' request timeout
+// of 1 s.
 constexpr double kFaultSlowResponseShare = 0.3;
 constexpr double kFaultSlowResponseMaxSeconds = 0.95;
 constexpr double kSlowResponseMinSeconds = 0.03;
--- a/lab/fault_injector.h
+++ b/lab/fault_injector.h
@@ -1,5 +1,5 @@
-// Injects random faults at random times, drawn from the seed of the plan. Most end by themselves within
-// seconds; a killed machine and a cancelled job stay so.
+// Injects random faults at random times, drawn from the seed of the plan. Most faults end by themselves
+// within seconds; killed machines are not restarted and cancelled jobs stay cancelled.
 #pragma once
 
 #include <functional>
@@ -33,8 +33,8 @@
   struct Fault {
     const char* name;
     Duration duration;
-    /// Returns a switch for each affected target; the duration is drawn for each of them separately. Empty if
-    /// the fault is not ended again or there is no target.
+    /// Returns a switch for each affected target; the duration is drawn for each of them separately. Empty
+    /// if the fault is permanent or there is no target.
     std::vector<Switch> (FaultInjector::*make_switches)();
   };
   static const std::vector<Fault>& faults();
--- a/lab/http_server.h
+++ b/lab/http_server.h
@@ -14,7 +14,7 @@
   std::string body = "{}";
 };
 
-/// Serves each connection until the client closes it, asks for that, or is idle for too long.
+/// Serves each connection until the client closes it, asks to close it, or is idle for too long.
 class HttpServer {
  public:
   using Handler = std::function<io::Task<HttpReply>(http::Message)>;
--- a/lab/user_crowd.h
+++ b/lab/user_crowd.h
@@ -22,7 +22,7 @@
   /// Lets the users of up to `count` running jobs cancel them within 0.2 s.
   void cancel_running_jobs(int count);
   /// Describes each job that is not in the state that it must have at the end of a soak: submissions are
-  /// accepted, services run, and arrays and cancelled jobs are known to their users as final.
+  /// accepted, services run, and users of arrays and of cancelled jobs have seen a final phase.
   std::vector<std::string> unfinished_jobs() const;
   std::size_t submitted_jobs() const { return users_.size(); }
   std::size_t accepted_jobs() const;
@@ -61,7 +61,7 @@
   /// Cancels after a delay; retries until a response calls the job done or cancelled.
   io::Task<> cancel(User& user, Micros delay);
   io::Task<> poll(User& user, int controller);
-  /// Polls a job that was never submitted, regularly.
+  /// Regularly polls the id of a job that was never submitted.
   io::Task<> poll_unknown_job();
   void poll_all_controllers(User& user);
   /// Reports a response to the checker, unless the request failed.
