--- a/tests/scheduled_faults_test.cpp
+++ b/tests/scheduled_faults_test.cpp
@@ -1,5 +1,5 @@
-// Scenarios of faults at set times, each of which brings about one situation on purpose: its test requires
-// evidence that the situation arose, that every rule was kept, and that all work was finished.
+// Scenarios with faults at fixed times. Each scenario provokes one particular situation. Its test requires
+// evidence that the situation occurred, that no rule of the checker was violated, and that all jobs finished.
 
 #include <gtest/gtest.h>
 
@@ -13,18 +13,18 @@
 struct NamedScenario {
   const char* name;
   std::vector<ScheduledFault> faults;
-  std::vector<Evidence> evidence;             ///< what has to have been seen
-  void (*prepare)(FaultScenario&) = nullptr;  ///< settings other than the usual ones
-  std::vector<Evidence> counterevidence{};    ///< what must not have been seen
+  std::vector<Evidence> required_evidence;     ///< events that must occur at least once
+  void (*prepare)(FaultScenario&) = nullptr;   ///< changes the defaults of the scenario
+  std::vector<Evidence> forbidden_evidence{};  ///< events that must not occur
 };
 using NamedScenarios = std::vector<NamedScenario>;
 
-/// The controller that leads shards with most machines crashes and is back after `down_for`.
-ScheduledFault crash_busiest(Micros at, Micros down_for) {
+/// Crashes the controller whose shards have the most machines, and restarts it after `down_for`.
+ScheduledFault crash_busiest_controller(Micros at, Micros down_for) {
   return {.at = at, .kind = controller_crashes, .duration = down_for, .controller = kBusiestController};
 }
 
-/// Users cancel that many running jobs, whose machines do not hang.
+/// Users cancel `count` running jobs at once. The machines of these jobs do not hang meanwhile.
 ScheduledFault cancel_jobs(Micros at, int count) {
   return {.at = at, .kind = cancel_together, .duration = Micros{0}, .count = count};
 }
@@ -46,9 +46,9 @@
   scenario.jobs = 50;
 }
 
-NamedScenarios cuts_from_workers() {
+NamedScenarios worker_partitions() {
   return {
-      {"HeldHeartbeatsReachANewLeader",
+      {"DelayedHeartbeatsReachNewLeader",
        {{.at = seconds(40),
          .kind = workers_unreachable,
          .duration = seconds(9),
@@ -60,7 +60,7 @@
          .controller = kBusiestController,
          .hold = true}},
        {Evidence::message_held, Evidence::shard_acquired}},
-      {"CommandsAndAnswersAreHeld",
+      {"CommandsAndResponsesAreDelayed",
        {{.at = seconds(40), .kind = machine_hangs_long, .duration = seconds(7), .count = 4},
         {.at = seconds(60), .kind = machine_partitioned, .duration = seconds(9), .count = 4, .hold = true},
         cancel_jobs(seconds(62), 4),
@@ -68,11 +68,11 @@
        {Evidence::message_held}},
       {"MachinesUnreachableOutboundStillExecuteCommands",
        {{.at = seconds(35), .kind = machines_unreachable_outbound, .duration = seconds(30), .count = 20},
-        crash_busiest(seconds(45), seconds(4)),
+        crash_busiest_controller(seconds(45), seconds(4)),
         {.at = seconds(85), .kind = machines_unreachable_outbound, .duration = seconds(45), .count = 4},
         cancel_jobs(seconds(86), 4)},
        {Evidence::heartbeat_lost, Evidence::worker_lease_expired}},
-      {"OverloadWithSlowStoreAndCutZones",
+      {"OverloadWithSlowStoreAndUnreachableZone",
        {{.at = seconds(20), .kind = store_slow, .duration = seconds(60)},
         {.at = seconds(40), .kind = west_workers_unreachable, .duration = seconds(20)}},
        {Evidence::team_at_limit},
@@ -82,13 +82,13 @@
 
 NamedScenarios zone_partitions() {
   return {
-      {"ZoneIsPartitionedWithItsController",
+      {"ZonePartitionedWithItsController",
        {{.at = seconds(40), .kind = zone_partitioned, .duration = seconds(20), .hold = true},
         {.at = seconds(90), .kind = zone_partitioned, .duration = seconds(16)}},
        {Evidence::message_held, Evidence::shard_acquired}},
-      // All heartbeats that the cut held arrive at once at the next leader, which once took their machine for
-      // unreachable.
-      {"ZoneIsPartitionedAndItsShardsAreAcquiredMeanwhile",
+      // The heartbeats delayed by the partition all arrive at the next leader at once. A leader used to
+      // conclude from such a burst that the machine was unreachable.
+      {"ShardsAcquiredDuringZonePartition",
        {{.at = seconds(40), .kind = zone_partitioned, .duration = seconds(11), .hold = true},
         {.at = seconds(41), .kind = controller_crashes, .duration = seconds(4), .controller = 0}},
        {Evidence::message_held, Evidence::shard_acquired},
@@ -99,13 +99,13 @@
         {.at = seconds(60), .kind = machine_partitioned, .duration = seconds(14), .count = 2},
         {.at = seconds(75), .kind = machine_dies, .count = 3},
         {.at = seconds(90), .kind = machine_dies, .count = 3},
-        crash_busiest(seconds(91), seconds(5))},
+        crash_busiest_controller(seconds(91), seconds(5))},
        {Evidence::zone_bound_task_lost},
        with_zone_bound_long_tasks},
   };
 }
 
-std::vector<ScheduledFault> ten_leader_crashes_and_an_outage() {
+std::vector<ScheduledFault> ten_leader_crashes_and_store_outage() {
   std::vector<ScheduledFault> faults{{.at = seconds(75), .kind = store_outage, .duration = seconds(25)}};
   for (int i = 0; i < 10; ++i)
     faults.push_back({.at = seconds(30 + 12 * i),
@@ -115,32 +115,30 @@
   return faults;
 }
 
-NamedScenarios changes_of_leader() {
+NamedScenarios leader_changes() {
   return {
-      {"ShardsChangeLeaderAndBackWithinASecond",
+      {"LeadershipMovesAwayAndBackWithinASecond",
        {{.at = seconds(40), .kind = store_unreachable, .duration = seconds(4), .controller = 0},
         {.at = seconds(45), .kind = controller_crashes, .duration = millis(200), .controller = 1},
         {.at = seconds(70), .kind = all_controllers_crash, .duration = seconds(3)},
         {.at = seconds(73), .kind = controller_crashes, .duration = millis(50), .controller = 2},
         {.at = seconds(90), .kind = store_refuses, .duration = seconds(3), .controller = kBusiestController},
-        crash_busiest(seconds(93), millis(300))},
-       {Evidence::shard_acquired}},
-      {"TenLeadersInTwoMinutesAlsoInAnOutage",
-       ten_leader_crashes_and_an_outage(),
+        crash_busiest_controller(seconds(93), millis(300))},
        {Evidence::shard_acquired}},
+      {"TenLeaderCrashesAndStoreOutage", ten_leader_crashes_and_store_outage(), {Evidence::shard_acquired}},
       {"LeaderCrashesWhileMachinesAreUnreachable",
        {{.at = seconds(40), .kind = machine_partitioned, .duration = seconds(25), .count = 3, .hold = true},
         {.at = seconds(41), .kind = machine_unreachable_inbound, .duration = seconds(25), .count = 5},
-        crash_busiest(seconds(42), seconds(5)),
+        crash_busiest_controller(seconds(42), seconds(5)),
         cancel_jobs(seconds(45), 3)},
        {Evidence::message_held, Evidence::shard_acquired},
        with_long_tasks},
-      {"AllControllersAreDownForLongerThanALease",
+      {"AllControllersDownLongerThanALease",
        {{.at = seconds(45), .kind = cancel_together, .duration = seconds(5), .count = 3},
         {.at = seconds(46), .kind = all_controllers_crash, .duration = seconds(16)},
         {.at = seconds(90), .kind = all_controllers_crash, .duration = millis(200)}},
        {Evidence::shard_acquired}},
-      {"OneControllerServesAllShards",
+      {"OneControllerLeadsAllShards",
        {{.at = seconds(40), .kind = controller_crashes, .duration = seconds(70), .controller = 0},
         {.at = seconds(40), .kind = controller_crashes, .duration = seconds(71), .controller = 1},
         cancel_jobs(seconds(60), 4)},
@@ -149,11 +147,11 @@
   };
 }
 
-NamedScenarios work_across_a_change_of_leader() {
+NamedScenarios jobs_during_leader_changes() {
   return {
-      {"TasksEndFarApartAcrossAChangeOfLeader",
-       {crash_busiest(seconds(50), seconds(6)),
-        crash_busiest(seconds(75), millis(150)),
+      {"LongTasksAcrossLeaderChanges",
+       {crash_busiest_controller(seconds(50), seconds(6)),
+        crash_busiest_controller(seconds(75), millis(150)),
         {.at = seconds(76), .kind = machine_dies},
         {.at = seconds(100),
          .kind = store_unreachable,
@@ -161,9 +159,9 @@
          .controller = kBusiestController}},
        {Evidence::shard_acquired},
        with_long_tasks},
-      {"TeamIsAtItsLimitAtAChangeOfLeader",
+      {"TeamAtItsLimitDuringLeaderChange",
        {{.at = seconds(50), .kind = machine_partitioned, .duration = seconds(18), .count = 2},
-        crash_busiest(seconds(51), seconds(5)),
+        crash_busiest_controller(seconds(51), seconds(5)),
         cancel_jobs(seconds(53), 4),
         {.at = seconds(80),
          .kind = store_and_peers_unreachable,
@@ -184,7 +182,8 @@
          .duration = seconds(6),
          .controller = kBusiestController}},
        {Evidence::cancelled_during_cut, Evidence::shard_acquired}},
-      // Its workers once waited for it until their leases expired, and were redirected to it by its peers.
+      // The workers of a paused controller used to wait for it until their leases expired, and its peers
+      // redirected workers to it.
       {"BusiestControllerPauses",
        {{.at = seconds(45),
          .kind = controller_pauses,
@@ -202,16 +201,16 @@
 
 NamedScenarios late_messages() {
   return {
-      {"OldHeartbeatsArriveAfterNewerOnes",
+      {"HeartbeatsArriveOutOfOrder",
        {{.at = seconds(25), .kind = late_heartbeats, .duration = seconds(110)},
-        crash_busiest(seconds(45), millis(100)),
+        crash_busiest_controller(seconds(45), millis(100)),
         {.at = seconds(60), .kind = worker_restarts, .count = 2},
-        crash_busiest(seconds(80), seconds(5))},
+        crash_busiest_controller(seconds(80), seconds(5))},
        {Evidence::heartbeat_duplicated}},
-      {"OldTransactionsAreExecutedAfterNewerOnes",
+      {"TransactionsExecuteOutOfOrder",
        {{.at = seconds(10), .kind = late_transactions, .duration = seconds(120)},
-        crash_busiest(seconds(50), millis(100)),
-        crash_busiest(seconds(70), seconds(8)),
+        crash_busiest_controller(seconds(50), millis(100)),
+        crash_busiest_controller(seconds(70), seconds(8)),
         cancel_jobs(seconds(80), 4)},
        {Evidence::transaction_executed_late}},
   };
@@ -219,7 +218,7 @@
 
 NamedScenarios cancellations_during_store_refusals() {
   return {
-      {"StoreRefusesTheLeaderAndThenAll",
+      {"StoreRefusesLeaderBeforeOutage",
        {{.at = seconds(40), .kind = store_refuses, .duration = seconds(14), .controller = kBusiestController},
         cancel_jobs(seconds(41), 4),
         {.at = seconds(42), .kind = store_outage, .duration = seconds(48)},
@@ -231,14 +230,15 @@
         {.at = seconds(122), .kind = store_outage, .duration = seconds(20)}},
        {Evidence::cancelled_during_store_refusal, Evidence::shard_acquired},
        with_long_tasks},
-      {"JobsAreCancelledAtTheMomentOfARefusal",
+      {"JobsCancelledWhenStoreStartsRefusing",
        {{.at = seconds(50), .kind = store_refuses, .duration = seconds(14), .controller = kBusiestController},
         cancel_jobs(seconds(50), 8),
         {.at = seconds(51), .kind = store_outage, .duration = seconds(48)}},
        {Evidence::cancelled_during_store_refusal, Evidence::cancelled_together},
        with_long_tasks},
-      // A leader once acted on what it had read before the outage, until it read again.
-      {"JobsAreCancelledAtARefusalAndMachinesUnreachableAfterwards",
+      // After an outage, a leader used to act on data that it had read before the outage, until its next
+      // read.
+      {"JobsCancelledDuringRefusalBeforeMachinePartition",
        {{.at = seconds(50), .kind = store_refuses, .duration = seconds(25), .controller = 1},
         {.at = seconds(50), .kind = machine_unreachable_inbound, .duration = seconds(50), .count = 4},
         cancel_jobs(seconds(50), 8),
@@ -249,17 +249,17 @@
   };
 }
 
-NamedScenarios races_of_users() {
+NamedScenarios user_request_races() {
   return {
-      {"JobsAreCancelledWhileMachinesHang",
+      {"JobsCancelledWhileMachinesHang",
        {{.at = seconds(40), .kind = cancel_together, .duration = seconds(7), .count = 5},
         {.at = seconds(60), .kind = cancel_together, .duration = seconds(20), .count = 5},
-        crash_busiest(seconds(61), seconds(4)),
+        crash_busiest_controller(seconds(61), seconds(4)),
         {.at = seconds(90), .kind = cancel_together, .duration = seconds(11), .count = 5},
         {.at = seconds(92), .kind = store_outage, .duration = seconds(45)}},
        {Evidence::machine_hung_at_cancellation, Evidence::cancelled_together},
        with_long_tasks},
-      {"UsersActAtTheEndOfTheLastTask",
+      {"UserRequestsWhileLastTaskEnds",
        {{.at = seconds(5), .kind = race_job_ends, .duration = seconds(140)}},
        {Evidence::job_end_raced}},
   };
@@ -269,15 +269,15 @@
   static const NamedScenarios all = [] {
     NamedScenarios scenarios;
     for (const auto& group :
-         {cuts_from_workers(), zone_partitions(), changes_of_leader(), work_across_a_change_of_leader(),
-          late_messages(), cancellations_during_store_refusals(), races_of_users()})
+         {worker_partitions(), zone_partitions(), leader_changes(), jobs_during_leader_changes(),
+          late_messages(), cancellations_during_store_refusals(), user_request_races()})
       scenarios.insert(scenarios.end(), group.begin(), group.end());
     return scenarios;
   }();
   return all;
 }
 
-FaultScenario scenario_of(const NamedScenario& named, std::uint64_t seed) {
+FaultScenario make_scenario(const NamedScenario& named, std::uint64_t seed) {
   FaultScenario scenario;
   scenario.seed = 3000 + seed;
   scenario.faults = named.faults;
@@ -289,28 +289,28 @@
   return scenario;
 }
 
-void expect_situation_arose(const SimulatedCluster& cluster, const NamedScenario& named) {
+void expect_situation_occurred(const SimulatedCluster& cluster, const NamedScenario& named) {
   EXPECT_EQ(cluster.seen(Evidence::scheduled_fault_injected), named.faults.size());
-  for (const Evidence evidence : named.counterevidence) EXPECT_EQ(cluster.seen(evidence), 0u) << evidence;
-  for (const Evidence evidence : named.evidence) EXPECT_GT(cluster.seen(evidence), 0u) << evidence;
+  for (const Evidence evidence : named.forbidden_evidence) EXPECT_EQ(cluster.seen(evidence), 0u) << evidence;
+  for (const Evidence evidence : named.required_evidence) EXPECT_GT(cluster.seen(evidence), 0u) << evidence;
 }
 
 class ScheduledFaults : public testing::TestWithParam<std::tuple<std::size_t, std::uint64_t>> {};
 
-TEST_P(ScheduledFaults, KeepEveryRuleAndFinishTheWork) {
+TEST_P(ScheduledFaults, RulesHoldAndAllJobsFinish) {
   const auto& [index, seed] = GetParam();
   const NamedScenario& named = all_scenarios()[index];
-  SimulatedCluster cluster(scenario_of(named, seed));
+  SimulatedCluster cluster(make_scenario(named, seed));
   cluster.run();
   EXPECT_EQ(cluster.checker().summary(), "");
   EXPECT_EQ(cluster.unfinished(), std::vector<std::string>{});
   EXPECT_EQ(cluster.inconsistent_sums(), 0u);
   EXPECT_EQ(cluster.seen(Evidence::error_logged), 0u);
   EXPECT_EQ(cluster.checker().starts_after_cancel(), 0u);
-  expect_situation_arose(cluster, named);
+  expect_situation_occurred(cluster, named);
 }
 
-/// SEEDS in the environment chooses other than 5 seeds.
+/// One past the last seed. The environment variable SEEDS sets the number of seeds; the default is 5.
 std::uint64_t seeds_end() {
   const char* text = std::getenv("SEEDS");
   return text == nullptr ? 6 : std::strtoull(text, nullptr, 10) + 1;
