--- a/tests/simulated_cluster_test.cpp
+++ b/tests/simulated_cluster_test.cpp
@@ -1,5 +1,5 @@
-// Whole runs of the simulated cluster under faults, and the test of the checker itself: each of its rules has
-// to find a planted defect.
+// Complete runs of the simulated cluster under faults, and tests of the checker itself: each of its rules
+// must detect a planted defect.
 
 #include "sim/simulated_cluster.h"
 
@@ -8,16 +8,16 @@
 namespace bendtide::sim {
 namespace {
 
-/// Set in the environment to print the controllers' logs and the faults.
+/// Whether to print the controllers' logs and the faults: set by the environment variable SIMULATION_VERBOSE.
 bool verbose() { return std::getenv("SIMULATION_VERBOSE") != nullptr; }
 
-/// SEEDS in the environment chooses other than 40 seeds.
+/// One past the last seed. The environment variable SEEDS sets the number of seeds; the default is 40.
 std::uint64_t seeds_end() {
   const char* text = std::getenv("SEEDS");
   return text == nullptr ? 41 : std::strtoull(text, nullptr, 10) + 1;
 }
 
-/// Runs the scenario, which has to keep every rule and to end with all work done.
+/// Runs the scenario, and expects that no rule of the checker is violated and that all jobs finish.
 void expect_rules_kept(FaultScenario scenario) {
   scenario.verbose = verbose();
   SimulatedCluster cluster(scenario);
@@ -31,7 +31,7 @@
 
 class RandomFaults : public testing::TestWithParam<std::uint64_t> {};
 
-TEST_P(RandomFaults, KeepsEveryRuleAndFinishesTheWork) {
+TEST_P(RandomFaults, RulesHoldAndAllJobsFinish) {
   FaultScenario scenario;
   scenario.seed = GetParam();
   expect_rules_kept(scenario);
@@ -39,42 +39,44 @@
 
 INSTANTIATE_TEST_SUITE_P(Seeds, RandomFaults, testing::Range<std::uint64_t>(1, seeds_end()));
 
-// Scenarios that once broke a rule or left work undone; the commits that fixed them explain how.
+// Scenarios that once violated a rule or left jobs unfinished. The commits that fixed these defects explain
+// the causes.
 class RegressionScenario : public testing::TestWithParam<std::uint64_t> {};
 
-TEST_P(RegressionScenario, KeepsEveryRuleAndFinishesTheWork) {
+TEST_P(RegressionScenario, RulesHoldAndAllJobsFinish) {
   FaultScenario scenario;
   scenario.seed = GetParam();
   scenario.extended = false;
   expect_rules_kept(scenario);
 }
 
-INSTANTIATE_TEST_SUITE_P(Found, RandomFaults, testing::Values(255, 668, 789));
+INSTANTIATE_TEST_SUITE_P(Regressions, RandomFaults, testing::Values(255, 668, 789));
 
 INSTANTIATE_TEST_SUITE_P(Seeds, RegressionScenario,
                          testing::Values(57, 204, 241, 262, 283, 312, 344, 399, 409, 412, 460, 479, 616,
                                          721));
 
-// One kind of fault again and again, beside duplicates of messages that arrive late.
+// One kind of fault that is injected repeatedly, together with duplicated messages that arrive late.
 class OneFaultKind : public testing::TestWithParam<int> {};
 
-TEST_P(OneFaultKind, KeepsEveryRuleAndFinishesTheWork) {
+TEST_P(OneFaultKind, RulesHoldAndAllJobsFinish) {
   FaultScenario scenario;
   scenario.seed = 1000 + static_cast<std::uint64_t>(GetParam());
   scenario.kinds = {static_cast<FaultKind>(GetParam())};
   expect_rules_kept(scenario);
 }
 
-// Two kinds that overlap; every kind is combined with several others.
+// Two kinds of faults that overlap in time. Every kind is combined with several others.
 class TwoFaultKinds : public testing::TestWithParam<std::tuple<int, int>> {};
 
-TEST_P(TwoFaultKinds, KeepsEveryRuleAndFinishesTheWork) {
+TEST_P(TwoFaultKinds, RulesHoldAndAllJobsFinish) {
   const auto [kind, distance] = GetParam();
-  // Kinds added later are combined with all; the pairs of the earlier ones stay what they were.
-  FaultKind ring = FaultKind::count;
+  // The second kind lies `distance` places after the first one, and wraps around among the first `end` kinds.
+  // Kinds added later are combined with all kinds; the pairs of the earlier kinds stay unchanged.
+  FaultKind end = FaultKind::count;
   for (const FaultKind first_of_later : {FaultKind::late_store_responses, FaultKind::late_transactions})
-    if (kind < static_cast<int>(first_of_later)) ring = first_of_later;
-  const int other = (kind + distance) % static_cast<int>(ring);
+    if (kind < static_cast<int>(first_of_later)) end = first_of_later;
+  const int other = (kind + distance) % static_cast<int>(end);
   FaultScenario scenario;
   scenario.seed = 2000 + static_cast<std::uint64_t>(kind * 100 + distance);
   scenario.kinds = {static_cast<FaultKind>(kind), static_cast<FaultKind>(other)};
@@ -85,9 +87,9 @@
                          testing::Combine(testing::Range(0, static_cast<int>(FaultKind::count)),
                                           testing::Values(1, 4, 9)));
 
-// Two machines that fail every task once made jobs look faulty in turns, and attracted tasks for as long as
-// they existed.
-TEST(FaultyMachines, AreDistinguishedFromFaultyJobs) {
+// Two machines that fail every task used to make healthy jobs look faulty, as these failed on one machine and
+// then on the other. Both machines received tasks for as long as they existed.
+TEST(FaultyMachines, FailuresPerMachineAreBounded) {
   FaultScenario scenario;
   scenario.seed = 5;
   scenario.kinds = {FaultKind::machine_fails_tasks};
@@ -95,14 +97,14 @@
   SimulatedCluster cluster(scenario);
   cluster.run();
   EXPECT_EQ(cluster.checker().summary(), "");
-  // Eight tasks fit on a machine at once: those of two jobs, and of one more that was placed meanwhile.
+  // Eight tasks fit on a machine at once: allows for those of two jobs, and of a third one placed meanwhile.
   EXPECT_LE(cluster.most_failures_on_a_machine(), 24u);
 }
 
-// The first forty of a queue once called for proposals again and again, and no machine was provisioned for
-// the others. At any one moment a few jobs have just begun to wait and have not called yet; none may be among
-// them twice, longer apart than the pause between two calls.
-TEST(ManyJobsAtOnce, EachGetsItsTurnToCallForProposals) {
+// The first forty jobs of a queue used to call for proposals repeatedly, and no machine was provisioned for
+// the others. At any moment, a few jobs have just begun to wait and have not called for proposals yet. No job
+// may be among them at two moments that lie further apart than the pause between two calls.
+TEST(JobBurst, EveryQueuedJobCallsForProposals) {
   std::set<std::string> unprovisioned_before;
   for (const double end : {12.0, 14.5, 17.0, 19.5, 22.0}) {
     FaultScenario scenario;
@@ -113,16 +115,16 @@
     SimulatedCluster cluster(scenario);
     cluster.run();
     const std::set<std::string> unprovisioned = cluster.unprovisioned_jobs();
-    EXPECT_LE(unprovisioned.size(), 20u) << end;
-    std::vector<std::string> still;
+    EXPECT_LE(unprovisioned.size(), 20u) << "after " << end << " s";
+    std::vector<std::string> still_unprovisioned;
     std::set_intersection(unprovisioned.begin(), unprovisioned.end(), unprovisioned_before.begin(),
-                          unprovisioned_before.end(), std::back_inserter(still));
-    EXPECT_EQ(still, std::vector<std::string>{}) << end;
+                          unprovisioned_before.end(), std::back_inserter(still_unprovisioned));
+    EXPECT_EQ(still_unprovisioned, std::vector<std::string>{}) << "after " << end << " s";
     unprovisioned_before = unprovisioned;
   }
 }
 
-TEST(SmallStoreLimits, WhatWouldExceedThemIsSplit) {
+TEST(SmallStoreLimits, OversizedWritesAreSplit) {
   FaultScenario scenario;
   scenario.seed = 7;
   scenario.jobs = 50;
@@ -134,12 +136,12 @@
   EXPECT_EQ(cluster.store().too_large(), 0u);
 }
 
-// Their heartbeats arrive between their worker's attempts elsewhere, so they are never silent for long
-// enough. And a shard all of whose machines were unreachable when it was acquired once changed its leader
-// endlessly.
+// A machine that is unreachable inbound is never silent long enough to be replaced for its silence, because
+// its heartbeats still arrive in between the worker's attempts to reach other controllers. In addition, a
+// shard whose machines were all unreachable when it was acquired used to change its leader endlessly.
 class UnreachableMachines : public testing::TestWithParam<std::uint64_t> {};
 
-TEST_P(UnreachableMachines, AreReplaced) {
+TEST_P(UnreachableMachines, EachIsReplaced) {
   FaultScenario scenario;
   scenario.seed = GetParam();
   scenario.kinds = {FaultKind::machine_unreachable_inbound};
@@ -157,7 +159,7 @@
 
 INSTANTIATE_TEST_SUITE_P(Kinds, OneFaultKind, testing::Range(0, static_cast<int>(FaultKind::count)));
 
-TEST(NoFaults, FinishesEverythingAndNegotiates) {
+TEST(NoFaults, FinishesAllJobsAndAwardsProposals) {
   FaultScenario scenario;
   scenario.inject_faults = false;
   scenario.jobs = 40;
@@ -174,9 +176,9 @@
   const char* rule;
 };
 
-class PlantedDefectIsFound : public testing::TestWithParam<PlantedDefectCase> {};
+class PlantedDefectIsDetected : public testing::TestWithParam<PlantedDefectCase> {};
 
-TEST_P(PlantedDefectIsFound, ByTheRule) {
+TEST_P(PlantedDefectIsDetected, ByExpectedRule) {
   FaultScenario scenario;
   scenario.inject_faults = false;
   scenario.end = seconds(200);
@@ -188,7 +190,7 @@
   EXPECT_TRUE(cluster.checker().violations().contains(GetParam().rule)) << cluster.checker().summary();
 }
 
-INSTANTIATE_TEST_SUITE_P(Rules, PlantedDefectIsFound,
+INSTANTIATE_TEST_SUITE_P(Rules, PlantedDefectIsDetected,
                          testing::Values(PlantedDefectCase{PlantedDefect::start_twice, "ran_twice"},
                                          PlantedDefectCase{PlantedDefect::ignore_quota, "quota"},
                                          PlantedDefectCase{PlantedDefect::start_anywhere, "wrong_place"},
@@ -208,7 +210,7 @@
                                   std::to_string(static_cast<int>(info.param.planted_defect));
                          });
 
-TEST(PlantedDefects, StartOfACancelledJobIsCounted) {
+TEST(PlantedDefects, StartsOfCancelledJobsAreCounted) {
   FaultScenario scenario;
   scenario.inject_faults = false;
   scenario.end = seconds(200);
