--- a/tests/late_answer_test.cpp
+++ b/tests/late_answer_test.cpp
@@ -1,5 +1,5 @@
-// Answers of the key-value store that arrive after other things were learned: none of them may bring back
-// what is over, and no final state is written over another.
+// Responses of the key-value store that arrive after the controller has received newer information. None of
+// them may revive a job that has ended, and no final state may overwrite another one.
 
 #include <gtest/gtest.h>
 
@@ -11,17 +11,17 @@
 
 using Outcome = StoreResponse::Outcome;
 
-// The incident: the job was accepted, found in the key-value store by its cancellation, cancelled, and
-// forgotten here; then the answer to the write that had accepted it arrived. The job began anew and was done
-// in the end.
-TEST(LateAnswer, ToAnAcceptanceDoesNotBringBackACancelledJob) {
+// A job was accepted, found in the key-value store by its cancellation, cancelled, and dropped from the
+// shard. Then the response to the write that had accepted it arrived. The controller used to start the job
+// again, and the job finished as done.
+TEST(LateStoreResponse, DoesNotReviveCancelledJob) {
   JobsFixture t;
   t.submit();
   ASSERT_EQ(t.calls.size(), 1u);
   t.cancel();
-  ASSERT_EQ(t.calls.size(), 2u) << "whether the job is live";
+  ASSERT_EQ(t.calls.size(), 2u) << "expected a read of the live record";
   t.answer(1, live_record());
-  ASSERT_EQ(t.calls.size(), 3u) << "the write that cancels it";
+  ASSERT_EQ(t.calls.size(), 3u) << "expected the write of the final state";
   t.answer(2, written(21));
   ASSERT_EQ(t.replies.size(), 1u);
   EXPECT_EQ(t.replies[0].phase, JobPhase::cancelled);
@@ -32,12 +32,13 @@
   EXPECT_FALSE(t.shard.jobs.contains(kTask.job));
   ASSERT_EQ(t.replies.size(), 2u);
   EXPECT_EQ(t.replies[1].status, 200);
-  EXPECT_EQ(t.replies[1].phase, JobPhase::cancelled) << "no user is answered with an older state";
+  EXPECT_EQ(t.replies[1].phase, JobPhase::cancelled) << "a user must not be told an older state";
 }
 
-// The same of a job that ended by the notice of a peer only: the final write of its owner removed the award,
-// but a list that was requested before still shows it.
-TEST(LateAnswer, WithAnAwardDoesNotBringBackAJobThatItsOwnerHasEnded) {
+// Like DoesNotReviveCancelledJob, for an awarded job whose end this controller knows only from a notice of
+// its owner. The owner's final write removed the award, but the response to an earlier list request still
+// contains it.
+TEST(LateStoreResponse, DoesNotReviveAwardedJobThatItsOwnerEnded) {
   JobsFixture t;
   Scheduler scheduler(t.state, t.fleet);
   ContractNet net(t.state, scheduler, {[] {}});
@@ -51,14 +52,15 @@
   }
 }
 
-// Found by the soak: the winner of an award read, for a repeated submission, that the job is cancelled,
-// before its owner's notice arrived; only the last check of starts kept the task placed here from starting.
-TEST(FinalState, ThatIsReadEndsWhatWasAwardedHere) {
+// The winner of an award reads the job's final state because a user repeats the submission. The job was
+// cancelled, and the notice of its owner has not arrived yet. The winner used to keep the job, so that only
+// the last check before a start command prevented the placed task from starting.
+TEST(FinalState, EndsAwardedJobWhenRead) {
   JobsFixture t;
   Job& job = t.add_job();
   job.owner = "b";
   t.shard.award_freshness.confirm(t.context.now, seconds(10));
-  t.collect([&] { t.jobs.on_malformed(1, kTask.job, "a repeat"); });
+  t.collect([&] { t.jobs.on_malformed(1, kTask.job, "malformed repetition"); });
   StoreResponse absent;
   absent.outcome = Outcome::absent;
   t.answer(0, absent);
@@ -69,8 +71,9 @@
   EXPECT_TRUE(job.ended);
 }
 
-// A record that was requested before the shard was acquired: an earlier leader may have ended the job since.
-TEST(LateAnswer, FromBeforeTheShardWasAcquiredIsNotActedOn) {
+// A record that was requested before the shard was acquired may be outdated: an earlier leader may have ended
+// the job after the request.
+TEST(LateStoreResponse, IsNotActedOnIfRequestedBeforeAcquisition) {
   JobsFixture t;
   t.cancel();
   ASSERT_EQ(t.calls.size(), 1u);
@@ -81,21 +84,23 @@
   EXPECT_EQ(t.replies[0].status, 503);
 }
 
-// So many jobs have ended since the request that the end of this one may have been forgotten.
-TEST(LateAnswer, FromBeforeTheOldestRememberedEndIsNotActedOn) {
+// The controller remembers the ends of a limited number of jobs. If more jobs than that have ended since a
+// request was made, the end of the job in its response may have been forgotten.
+TEST(LateStoreResponse, IsUncertainIfLaterJobEndsAreForgotten) {
   JobsFixture t;
-  const Micros asked = t.context.now;
+  const Micros requested_at = t.context.now;
   FinalStates& final_states = t.state.final_states;
-  EXPECT_EQ(t.state.validity(t.shard, kTask.job, asked), Validity::current);
+  EXPECT_EQ(t.state.validity(t.shard, kTask.job, requested_at), Validity::current);
   for (std::size_t i = 0; i <= FinalStates::kRemembered; ++i)
-    final_states.record_final("run-" + std::to_string(1000 + i), {}, asked + millis(1));
+    final_states.record_final("run-" + std::to_string(1000 + i), {}, requested_at + millis(1));
   EXPECT_EQ(final_states.size(), FinalStates::kRemembered);
-  EXPECT_EQ(t.state.validity(t.shard, kTask.job, asked), Validity::uncertain);
-  EXPECT_EQ(t.state.validity(t.shard, kTask.job, asked + millis(2)), Validity::current);
+  EXPECT_EQ(t.state.validity(t.shard, kTask.job, requested_at), Validity::uncertain);
+  EXPECT_EQ(t.state.validity(t.shard, kTask.job, requested_at + millis(2)), Validity::current);
 }
 
-// The second line of defence: the key-value store itself refuses a final state over another.
-TEST(FinalState, IsWrittenOnceAndTheStoredOneCounts) {
+// The final write requires that the key-value store has no final state of the job yet. If it has one, the
+// leader reads it and adopts it.
+TEST(FinalState, StoredStateIsNotOverwritten) {
   JobsFixture t;
   Job& job = t.add_job();
   t.cancel();
@@ -108,17 +113,18 @@
   refused.outcome = Outcome::conflict;
   refused.failed = {records::final_job_key(kTask.job)};
   t.answer(0, refused);
-  ASSERT_EQ(t.calls.size(), 2u) << "the read of the stored final state";
+  ASSERT_EQ(t.calls.size(), 2u) << "expected a read of the stored final state";
   EXPECT_TRUE(job.finalizing);
   t.answer(1, found(records::final_job_key(kTask.job), records::to_json(records::FinalJob{JobPhase::done, 1}),
                     15));
   ASSERT_EQ(t.replies.size(), 1u);
   EXPECT_EQ(t.replies[0].phase, JobPhase::done);
-  EXPECT_EQ(t.context.invariants.total(), 1u) << "this leader was to write another final state";
+  EXPECT_EQ(t.context.invariants.total(), 1u) << "the refused write had a different final state";
 }
 
-// The same without a violation: the first try got no answer, and was carried out.
-TEST(FinalState, OfAWriteWithoutAnswerIsFoundByTheNextTry) {
+// Like StoredStateIsNotOverwritten, but without an invariant violation: the first write was executed and only
+// its response was lost, so the retry finds the final state that the first write stored.
+TEST(FinalState, RetryFindsStateOfUnconfirmedWrite) {
   JobsFixture t;
   t.add_job();
   t.cancel();
@@ -138,8 +144,9 @@
   EXPECT_EQ(t.replies.back().phase, JobPhase::cancelled);
 }
 
-// A peer that read the record may have answered its user before the response to the write is here.
-TEST(Start, IsNotSentOnceItsJobMayBeOver) {
+// A job may have ended before its leader knows: a peer that has read the final state may tell a user about it
+// before the leader receives the response to its final write.
+TEST(StartCommand, IsNotSentOnceJobMayHaveEnded) {
   for (const char* what :
        {"final write in flight", "ended", "known to have ended", "awarded, and the award is stale"}) {
     JobsFixture t;
@@ -160,7 +167,7 @@
     ASSERT_EQ(answers.size(), 1u);
     EXPECT_TRUE(answers[0].reply.commands.empty()) << what;
     t.machine().push_in_flight = false;
-    t.machine().acknowledgements.count_lost_push();  // so that commands are pushed to it
+    t.machine().acknowledgements.count_lost_push();  // evidence of a lost message makes the leader push
     t.shard.request_push(t.machine());
     const auto calls = t.at<WorkerCall>(102.1, [&] { t.fleet.push_commands(t.shard); });
     ASSERT_EQ(calls.size(), 1u);
@@ -169,39 +176,41 @@
   }
 }
 
-/// A number from the environment, for longer runs than the usual ones.
-std::uint64_t from_environment(const char* name, std::uint64_t otherwise) {
+/// The value of an environment variable, or `default_value` if it is not set. Allows longer runs than the
+/// default.
+std::uint64_t number_from_environment(const char* name, std::uint64_t default_value) {
   const char* text = std::getenv(name);
-  return text == nullptr ? otherwise : std::strtoull(text, nullptr, 10);
+  return text == nullptr ? default_value : std::strtoull(text, nullptr, 10);
 }
 
-/// Controllers lose the key-value store one after the other, so that submissions are passed on to two peers
-/// at once; users ask everywhere, submit again and cancel within 0.3 s of an acceptance.
+/// The controllers lose the key-value store one after the other, so that submissions are forwarded to two
+/// peers at once. Users poll all controllers, repeat submissions, and cancel within 0.3 s of an acceptance.
 FaultScenario impatient_users_scenario(std::uint64_t seed) {
   using enum FaultKind;
-  FaultScenario plan;
-  plan.seed = seed;
-  plan.jobs = 300;
-  plan.end = seconds(420);
-  plan.impatient_users = true;
-  plan.invalid_requests = true;
-  plan.verbose = std::getenv("SIMULATION_VERBOSE") != nullptr;
-  plan.faults = {{.at = seconds(5), .kind = late_store_responses, .duration = seconds(140)},
-                 {.at = seconds(15), .kind = store_unreachable, .duration = seconds(25), .controller = 0},
-                 {.at = seconds(55), .kind = store_refuses, .duration = seconds(25), .controller = 1},
-                 {.at = seconds(95), .kind = store_unreachable, .duration = seconds(25), .controller = 2},
-                 {.at = seconds(130),
-                  .kind = controller_crashes,
-                  .duration = seconds(4),
-                  .controller = kBusiestController}};
-  return plan;
+  FaultScenario scenario;
+  scenario.seed = seed;
+  scenario.jobs = 300;
+  scenario.end = seconds(420);
+  scenario.impatient_users = true;
+  scenario.invalid_requests = true;
+  scenario.verbose = std::getenv("SIMULATION_VERBOSE") != nullptr;
+  scenario.faults = {{.at = seconds(5), .kind = late_store_responses, .duration = seconds(140)},
+                     {.at = seconds(15), .kind = store_unreachable, .duration = seconds(25), .controller = 0},
+                     {.at = seconds(55), .kind = store_refuses, .duration = seconds(25), .controller = 1},
+                     {.at = seconds(95), .kind = store_unreachable, .duration = seconds(25), .controller = 2},
+                     {.at = seconds(130),
+                      .kind = controller_crashes,
+                      .duration = seconds(4),
+                      .controller = kBusiestController}};
+  return scenario;
 }
 
-// The incident in a simulated cluster. FIRST_SEED and SEEDS choose other and more days.
-TEST(ImpatientUsers, NeverGetAnOlderAnswerWhileStoreResponsesAreLate) {
-  const std::uint64_t first = from_environment("FIRST_SEED", 1);
-  const std::uint64_t seeds = from_environment("SEEDS", 6);
-  std::size_t failed = 0;
+// Reproduces, in a simulated cluster, the conditions under which a late store response revived a cancelled
+// job. The environment variables FIRST_SEED and SEEDS set the first seed and the number of seeds.
+TEST(ImpatientUsers, NeverSeeOlderStateWhenStoreResponsesAreLate) {
+  const std::uint64_t first = number_from_environment("FIRST_SEED", 1);
+  const std::uint64_t seeds = number_from_environment("SEEDS", 6);
+  std::size_t failed_seeds = 0;
   for (std::uint64_t seed = first; seed < first + seeds; ++seed) {
     SimulatedCluster cluster(impatient_users_scenario(seed));
     cluster.run();
@@ -210,13 +219,13 @@
     EXPECT_EQ(cluster.inconsistent_sums(), 0u) << "seed " << seed;
     EXPECT_EQ(cluster.seen(Evidence::error_logged), 0u) << "seed " << seed;
     EXPECT_EQ(cluster.checker().starts_after_cancel(), 0u) << "seed " << seed;
-    for (const Evidence what :
+    for (const Evidence evidence :
          {Evidence::store_response_delayed, Evidence::job_cancelled_at_acceptance, Evidence::shard_acquired})
-      EXPECT_GT(cluster.seen(what), 0u) << what << ", seed " << seed;
-    failed += cluster.checker().summary().empty() ? 0 : 1;
+      EXPECT_GT(cluster.seen(evidence), 0u) << evidence << ", seed " << seed;
+    failed_seeds += cluster.checker().summary().empty() ? 0 : 1;
   }
-  RecordProperty("days_that_broke_a_rule", static_cast<int>(failed));
-  EXPECT_EQ(failed, 0u) << "of " << seeds << " days broke a rule";
+  RecordProperty("seeds_with_violations", static_cast<int>(failed_seeds));
+  EXPECT_EQ(failed_seeds, 0u) << "rules were violated with " << failed_seeds << " of " << seeds << " seeds";
 }
 
 }  // namespace
