--- a/tests/question_test.cpp
+++ b/tests/question_test.cpp
@@ -1,4 +1,5 @@
-// Polls: how many reads they cost, and that no reply is older than what the user was told before.
+// Polls of jobs: how many store reads and peer queries they cost, and that no reply is older than what the
+// user was told before.
 
 #include <gtest/gtest.h>
 
@@ -11,7 +12,7 @@
   JobsWithPeer() { add_peer("b"); }
 };
 
-TEST(ManyQuestions, AboutAJobHeldHereReadNothing) {
+TEST(JobPolls, ReadNothingForJobOfOwnShard) {
   JobsWithPeer fixture;
   fixture.add_job();
   fixture.poll(1000);
@@ -20,23 +21,24 @@
   EXPECT_TRUE(fixture.queries.empty());
 }
 
-// Users that ask eight times as often once caused eight times the reads.
-TEST(ManyQuestions, AboutAnUnknownJobShareTheirReads) {
+// Every poll of an unknown job used to cause reads of its own: eight times the polls caused eight times the
+// reads.
+TEST(JobPolls, ShareReadsForUnknownJob) {
   JobsWithPeer fixture;
   fixture.poll(100);
   EXPECT_EQ(fixture.calls.size(), 1u);
-  fixture.answer_last(absent());  // not unfinished; next whether it has a final state
+  fixture.answer_last(absent());  // no live record; the final state is read next
   fixture.answer_last(absent());
   ASSERT_EQ(fixture.replies.size(), 1u);
   EXPECT_EQ(fixture.replies[0].status, 404);
-  EXPECT_EQ(fixture.calls.size(), 3u) << "one more for all that asked meanwhile";
+  EXPECT_EQ(fixture.calls.size(), 3u) << "expected one more read, shared by all polls that came meanwhile";
   fixture.answer_last(absent());
   fixture.answer_last(absent());
   EXPECT_EQ(fixture.replies.size(), 100u);
   EXPECT_EQ(fixture.calls.size(), 4u);
 }
 
-TEST(ManyQuestions, AboutAPeersJobShareOneQuestionToIt) {
+TEST(JobPolls, ShareQueryForJobOfPeer) {
   JobsWithPeer fixture;
   fixture.state.routes["b"].host = "b";
   records::LiveJob record;
@@ -53,9 +55,9 @@
   EXPECT_TRUE(fixture.calls.empty());
 }
 
-// A user that was told at another node that the job is accepted, after the read in flight was made, must not
-// be told by that read that there is no such job.
-TEST(ManyQuestions, AreNotAnsweredByAReadFromBeforeTheyWereAsked) {
+// After a read was requested, another controller may tell a user that the job is accepted. If this user then
+// polls here, the response to the earlier read must not be used to reply that there is no such job.
+TEST(JobPolls, AreNotAnsweredByEarlierRead) {
   JobsWithPeer fixture;
   fixture.poll(1);
   fixture.poll(1);
