--- a/tests/shard_leases_test.cpp
+++ b/tests/shard_leases_test.cpp
@@ -1,4 +1,4 @@
-// Which shards a controller leads, event by event.
+// Which shards a controller leads after each of a sequence of events.
 
 #include "core/leases/shard_leases.h"
 
@@ -18,7 +18,7 @@
   return response;
 }
 
-/// The key-value store answers that the store lease 7 has ended, and then grants the lease 8.
+/// Makes the key-value store respond that store lease 7 has ended, and then grant store lease 8.
 void replace_store_lease(JobsFixture& t, ShardLeases& leases) {
   t.context.now += t.context.settings.lease_term() / 6;
   t.collect([&] { leases.tick(); });
@@ -39,11 +39,11 @@
   ASSERT_TRUE(t.state.lease_valid());
 }
 
-// A lease record goes with the store lease that it is attached to. An acquisition that was carried out, while
-// only its response was late, once counted under the next store lease: the controller acted for the shard
+// A lease record is deleted when the store lease that it is attached to ends. The response to an acquisition
+// used to be accepted even if it arrived under the next store lease. The controller then acted for the shard
 // without any lease record.
-TEST(LateAnswer, ToAnAcquisitionUnderAStoreLeaseThatHasEndedAcquiresNothing) {
-  for (const bool lease_ends : {true, false}) {
+TEST(ShardLeases, IgnoreAcquisitionUnderEndedStoreLease) {
+  for (const bool store_lease_ends : {true, false}) {
     JobsFixture t;
     t.context.settings.peers = {{"b", "z", "b:1"}};
     ShardLeases leases(
@@ -54,15 +54,15 @@
     t.collect([&] { leases.on_lease_transfer({"b", 30, false, {}}); });
     const std::size_t acquisition = t.calls.size() - 1;
     ASSERT_TRUE(std::holds_alternative<Transaction>(t.calls.at(acquisition).request));
-    if (lease_ends) {
+    if (store_lease_ends) {
       ASSERT_NO_FATAL_FAILURE(replace_store_lease(t, leases));
     }
     t.answer(acquisition, written(31));
-    EXPECT_EQ(t.state.shards.contains("b"), !lease_ends);
+    EXPECT_EQ(t.state.shards.contains("b"), !store_lease_ends);
   }
 }
 
-TEST(TokenAdvance, IsDueOnceRequestedAndOneWriteAtATime) {
+TEST(TokenAdvance, IsDueWhenRequestedAndNoWriteIsInFlight) {
   TokenAdvance advance;
   EXPECT_FALSE(advance.due(seconds(100)));
   advance.request_soon();
@@ -75,7 +75,7 @@
   EXPECT_TRUE(advance.due(seconds(101))) << "it was requested again during the write";
 }
 
-TEST(TokenAdvance, WithoutHurryWaitsEightSecondsLonger) {
+TEST(TokenAdvance, EventualRequestWaitsEightSecondsLonger) {
   TokenAdvance advance;
   advance.begin(seconds(100));
   advance.succeed();
@@ -84,7 +84,7 @@
   EXPECT_TRUE(advance.due(seconds(109)));
 }
 
-TEST(TokenAdvance, IsRepeatedAfterAFailureAndWithoutHurryAfterAConflict) {
+TEST(TokenAdvance, RetriesSoonAfterFailureAndLaterAfterConflict) {
   for (const bool conflict : {false, true}) {
     TokenAdvance advance;
     advance.request_soon();
