--- a/tests/machine_test.cpp
+++ b/tests/machine_test.cpp
@@ -1,5 +1,5 @@
-// Event by event, what the leader of a shard concludes of one machine and what it replies: the proofs on
-// which the rules rest.
+// What the leader of a shard concludes about one machine from each of a sequence of events, and what it
+// replies.
 
 #include <gtest/gtest.h>
 
@@ -8,9 +8,10 @@
 namespace bendtide::sim {
 namespace {
 
-// Each reply renews the lease. Leaders that followed one another once kept a cancelled job's tasks alive, as
-// each had ended before the worker's second heartbeat.
-TEST(FirstReply, StopsTasksOfUnknownJobs) {
+// Each reply to a heartbeat renews the worker's lease. A sequence of leaders used to keep the tasks of a
+// cancelled job running: the first reply of a leader did not stop them, and each leader lost the shard before
+// the worker's second heartbeat.
+TEST(HeartbeatReply, FirstReplyStopsTasksOfUnknownJobs) {
   HeldShard t;
   const auto replies =
       t.at<AnswerHeartbeat>(101, [&] { t.fleet.on_heartbeat(1, t.heartbeat(5, 1, 4, true)); });
@@ -29,24 +30,25 @@
   EXPECT_TRUE(kept[0].reply.commands.empty());
 }
 
-// A worker that reaches no controller begins a new incarnation in which commands still reach it. Its tasks
-// were once given up, and started elsewhere, a lease after the shard was taken, while they ran on for the
-// rest of theirs.
-TEST(WorkerWithoutController, KeepsItsTasksUntilTheLeaseOfItsIncarnationIsOver) {
+// A worker that reaches no controller begins a new incarnation, in which commands still reach it. The leader
+// used to give up the worker's tasks one lease after the shard was acquired and to start them elsewhere,
+// although they ran on until the lease of the new incarnation expired.
+TEST(WorkerIncarnation, TasksStayPlacedUntilItsLeaseExpires) {
   HeldShard t;
   Job& job = t.add_job();
   t.on_response(108, 1, CommandResponse::Outcome::refused, t.heartbeat(10, 2, 1, false));
   t.on_response(108, 2, CommandResponse::Outcome::executed, t.heartbeat(10, 2, 3, true));
   ASSERT_EQ(job.tasks[0].state, Task::State::placed);
   t.at<LogLine>(113, [&] { t.fleet.tick(); });
-  EXPECT_EQ(job.tasks[0].state, Task::State::placed) << "the lease of the incarnation goes on until 120 s";
+  EXPECT_EQ(job.tasks[0].state, Task::State::placed) << "the lease of the incarnation lasts until 120 s";
   t.at<LogLine>(121, [&] { t.fleet.tick(); });
   EXPECT_EQ(job.tasks[0].state, Task::State::waiting);
 }
 
-// What a cut delayed comes all at once, and is one piece of evidence that nothing reaches the machine. A
-// machine that goes on without our fencing token is unreachable.
-TEST(DelayedHeartbeats, AreOnePieceOfEvidence) {
+// Heartbeats delayed by a network partition arrive all at once, and count as one piece of evidence that no
+// message reaches the machine. A machine that still does not acknowledge the leader's fencing token
+// afterwards is unreachable.
+TEST(DelayedHeartbeats, CountAsOnePieceOfEvidence) {
   HeldShard t;
   t.at<LogLine>(111, [&] {
     t.fleet.on_heartbeat(1, t.heartbeat(5, 1, 4, false));
@@ -62,9 +64,10 @@
   EXPECT_TRUE(t.machine().lifecycle.decommissioned);
 }
 
-// A cut swallows a push and delays the heartbeats that follow it: all of that was sent before anything of
-// ours could have reached the worker. It once added up to a machine that is deleted though it is well.
-TEST(DelayedHeartbeats, AndThePushLostInTheSameCutAreNoEvidence) {
+// A network partition drops a push and delays the heartbeats that follow it. All these heartbeats were sent
+// before any message of the leader could have reached the worker. Together with the lost push, they used to
+// count as enough evidence to delete a healthy machine.
+TEST(DelayedHeartbeats, AreNoEvidenceTogetherWithPushLostInSamePartition) {
   HeldShard t;
   t.shard.set_reconciled(t.machine(), true);
   t.at<LogLine>(101.5, [&] { t.fleet.on_command_response(1, {CommandResponse::Outcome::unknown, {}}); });
@@ -77,8 +80,9 @@
   EXPECT_FALSE(t.machine().lifecycle.decommissioned);
 }
 
-// Heartbeats that were delayed together show nothing of the start in the reply to the first one.
-TEST(DelayedHeartbeats, DoNotShowThatAStartWasLost) {
+// Heartbeats that were delayed together were all sent before the reply to the first one. They cannot show
+// whether the start command in that reply has reached the worker.
+TEST(DelayedHeartbeats, AreNoEvidenceOfLostStartCommand) {
   for (const auto& [next_heartbeat_at, evidence] : {std::pair(101.1, 0), std::pair(106.0, 1)}) {
     HeldShard t;
     Job& job = t.add_job();
@@ -87,12 +91,14 @@
     job.leave_waiting(0, {Task::State::placed, &t.machine(), 7});
     t.at<LogLine>(101, [&] { t.fleet.on_heartbeat(2, t.heartbeat(10, 1, 5, false)); });
     t.at<LogLine>(next_heartbeat_at, [&] { t.fleet.on_heartbeat(3, t.heartbeat(10, 1, 6, false)); });
-    EXPECT_EQ(t.machine().acknowledgements.missed(), evidence) << next_heartbeat_at;
+    EXPECT_EQ(t.machine().acknowledgements.missed(), evidence)
+        << "next heartbeat at " << next_heartbeat_at << " s";
   }
 }
 
-// The machine gets another push as soon as its heartbeat comes. Only a push lost then as well is evidence.
-TEST(LostPushes, AreEvidenceOnceHeartbeatsCameInBetween) {
+// After a lost push, the machine gets another push as soon as its next heartbeat arrives. Only if that push
+// is lost as well do the lost pushes count as evidence.
+TEST(LostPushes, AreEvidenceIfHeartbeatsArriveInBetween) {
   HeldShard t;
   t.at<LogLine>(101, [&] { t.fleet.on_heartbeat(4, t.heartbeat(10, 1, 4, false)); });
   std::uint64_t call = 1;
@@ -106,8 +112,8 @@
       t.fleet.on_heartbeat(call, t.heartbeat(10, 1, static_cast<std::uint64_t>(moment), false));
       t.fleet.push_commands(t.shard);
     });
-    EXPECT_EQ(t.machine().acknowledgements.missed(), evidence) << moment;
-    ASSERT_EQ(calls.size(), 1u) << moment;
+    EXPECT_EQ(t.machine().acknowledgements.missed(), evidence) << "at " << moment << " s";
+    ASSERT_EQ(calls.size(), 1u) << "at " << moment << " s";
     call = calls[0].call;
   }
   t.at<LogLine>(117, [&] {
@@ -118,15 +124,15 @@
   EXPECT_TRUE(t.machine().lifecycle.decommissioned);
 }
 
-// A leader whose term was renewed after an outage once started, and kept alive, what was awarded to it
-// before: the job had been cancelled meanwhile.
-TEST(StaleAwards, AreNeitherStartedNorKeptAlive) {
+// A leader whose lease was renewed after a store outage used to start tasks that had been awarded to it
+// before the outage, and to keep such tasks running, although their job had been cancelled meanwhile.
+TEST(StaleAwards, AreNeitherStartedNorKeptRunning) {
   HeldShard t;
   Scheduler scheduler(t.state, t.fleet);
   ContractNet net(t.state, scheduler, {[] {}});
   Job& job = t.add_job();
   t.shard.award_freshness.confirm(seconds(100), seconds(10));
-  EXPECT_TRUE(t.shard.may_start(job, seconds(200))) << "our own";
+  EXPECT_TRUE(t.shard.may_start(job, seconds(200))) << "the shard owns the job";
   job.owner = "b";
   EXPECT_TRUE(t.shard.may_start(job, seconds(109)));
   EXPECT_FALSE(t.shard.may_start(job, seconds(110)));
@@ -141,7 +147,7 @@
       t.fleet.on_heartbeat(2, t.heartbeat(10, 1, static_cast<std::uint64_t>(moment), true));
     });
     ASSERT_EQ(replies.size(), 1u);
-    EXPECT_EQ(replies[0].reply.commands.size(), stops) << moment;
+    EXPECT_EQ(replies[0].reply.commands.size(), stops) << "at " << moment << " s";
   }
 }
 
