--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -1,4 +1,4 @@
-// Where tasks are placed, and which machines are created for those without capacity.
+// Where tasks are placed, and which machines are created for tasks that find no capacity.
 
 #include <gtest/gtest.h>
 
@@ -8,8 +8,8 @@
 namespace bendtide::sim {
 namespace {
 
-/// A shard with machines that are up, a catalogue, and an autoscaler whose calls to the cloud get no
-/// response.
+/// A shard with running machines, a catalogue of machine types, and an autoscaler whose calls to the cloud
+/// get no response.
 struct ScalingShard : HeldShard {
   Scheduler scheduler{state, fleet};
   Autoscaler autoscaler{state, fleet};
@@ -20,20 +20,21 @@
     shard.quota.load({{"t", {80'000, 0}}, {"guests", {80'000, 0}}}, 1);
     shard.machines.clear();
   }
-  /// Up, reconciled, and with a status received a moment ago.
+  /// Adds a running, reconciled machine whose last status was received just now.
   Machine& add_machine(const std::string& name, bool spot = false) {
     Machine& m = fleet.add(shard, machine_from({name, "small", "z", spot, name + ":1", context.wall}), true);
     m.size = {8000, 0, 64000};
     m.liveness.status_received = true;
     return m;
   }
+  /// Adds a machine that was created `age` ago and is still booting.
   Machine& add_booting(const std::string& name, Micros age) {
     Machine& m = fleet.add(shard, machine_from({name, "small", "z", false, "", context.wall - age}), false);
     m.size = {8000, 0, 64000};
     return m;
   }
-  Job& add(const std::string& id, const std::string& team, Shape shape, Priority priority,
-           std::uint32_t tasks) {
+  Job& load_job(const std::string& id, const std::string& team, Shape shape, Priority priority,
+                std::uint32_t tasks) {
     records::LiveJob record;
     record.shard = "a";
     record.accepted = context.wall;
@@ -50,33 +51,35 @@
     record.spec.spot = true;
     return Jobs::load(shard, record);
   }
-  /// The creations that one tick of the autoscaler asks for, once no peer has capacity for any job.
-  std::vector<CreateMachines> creations() {
+  /// Runs one tick of the autoscaler, with no peer that has capacity for any job, and returns the creation
+  /// calls that it makes.
+  std::vector<CreateMachines> tick_autoscaler() {
     for (auto& [id, job] : shard.jobs) job.refused = true;
     std::vector<CreateMachines> out;
     for (const CloudCall& call : at<CloudCall>(in_seconds(context.now) + 1, [&] { autoscaler.tick(); }))
       if (auto* creation = std::get_if<CreateMachines>(&call.request)) out.push_back(*creation);
     return out;
   }
-  void pass() {
+  /// Runs one scheduling pass.
+  void run_scheduling_pass() {
     shard.changed();
     scheduler.pass(shard);
   }
 };
 
-// A service once started on a machine that first had to fetch its image for 20 s, while others that cached it
-// ran work of lower priority.
+// A service used to be started on an empty machine that first had to fetch its image for 20 s, while machines
+// with the image in their cache ran tasks of lower priority.
 TEST(Preemption, ServicePreemptsLowerPriorityWhereItsImageIsCached) {
   for (const bool cached : {true, false}) {
     ScalingShard test;
     Machine& busy = test.add_machine("busy");
-    Job& batch = test.add("run-1", "t", Shape::array, Priority::normal, 2);
-    test.pass();
+    Job& batch = test.load_job("run-1", "t", Shape::array, Priority::normal, 2);
+    test.run_scheduling_pass();
     ASSERT_EQ(batch.present, 2u);
     if (!cached) busy.images.clear();
     Machine& empty = test.add_machine("empty");
-    test.add("run-2", "t", Shape::service, Priority::production, 1);
-    test.pass();
+    test.load_job("run-2", "t", Shape::service, Priority::production, 1);
+    test.run_scheduling_pass();
     const auto unwanted = std::count_if(busy.tasks.begin(), busy.tasks.end(),
                                         [](const auto& task) { return !task.second.wanted; });
     EXPECT_EQ(unwanted, cached ? 1 : 0);
@@ -84,93 +87,97 @@
   }
 }
 
-// A hundred on-demand machines were once created for guests without a guarantee or an objective, at four
-// times the price of spot machines, and the services of others then found none.
-TEST(BestEffort, GetsNoOnDemandMachineUnlessSomethingJustifiesIt) {
+// A hundred on-demand machines used to be created for the jobs of a team without a guarantee or an objective,
+// at four times the price of spot machines. The services of other teams then found no machines.
+TEST(BestEffort, GetsOnDemandMachineOnlyIfJustified) {
   struct Case {
     const char* what;
     const char* team;
     Priority priority;
     bool has_objective;
-    bool justified;  ///< gets an on-demand machine where spot machines are exhausted
+    bool justified;  ///< gets an on-demand machine if spot machines are exhausted
   };
   for (const Case& c :
-       std::vector<Case>{{"nothing justifies it", "guests", Priority::low, false, false},
-                         {"its class has an objective", "guests", Priority::low, true, true},
-                         {"its team has a guarantee", "t", Priority::low, false, true},
-                         {"it is not of the lowest priority", "guests", Priority::normal, false, true}}) {
+       std::vector<Case>{{"no justification", "guests", Priority::low, false, false},
+                         {"class with an objective", "guests", Priority::low, true, true},
+                         {"team with a guarantee", "t", Priority::low, false, true},
+                         {"not of the lowest priority", "guests", Priority::normal, false, true}}) {
     for (const bool spot_available : {true, false}) {
       ScalingShard test;
       if (c.has_objective)
         test.context.settings.objectives = {{Objective::Kind::finished, c.team, seconds(400), 1}};
       if (!spot_available) test.autoscaler.on_capacity_exhausted({"small", "z", true});
-      test.add("run-1", c.team, Shape::array, c.priority, 4);
-      test.pass();
-      const std::vector<CreateMachines> creations = test.creations();
+      test.load_job("run-1", c.team, Shape::array, c.priority, 4);
+      test.run_scheduling_pass();
+      const std::vector<CreateMachines> creations = test.tick_autoscaler();
       ASSERT_EQ(creations.size(), spot_available || c.justified ? 1u : 0u) << c.what;
       for (const CreateMachines& creation : creations) EXPECT_EQ(creation.spot, spot_available) << c.what;
     }
   }
 }
 
-TEST(BestEffort, GetsAnOnDemandMachineForItsFirstTaskOnceItIsOverdue) {
+TEST(BestEffort, GetsOneOnDemandMachineIfFirstTaskIsOverdue) {
   ScalingShard test;
-  test.add("run-1", "guests", Shape::array, Priority::low, 40).accepted = test.context.wall - seconds(121);
+  test.load_job("run-1", "guests", Shape::array, Priority::low, 40).accepted =
+      test.context.wall - seconds(121);
   test.autoscaler.on_capacity_exhausted({"small", "z", true});
-  test.pass();
-  const std::vector<CreateMachines> creations = test.creations();
+  test.run_scheduling_pass();
+  const std::vector<CreateMachines> creations = test.tick_autoscaler();
   ASSERT_EQ(creations.size(), 1u);
   EXPECT_EQ(creations[0].count, 1);
 }
 
-TEST(BestEffort, IsDrainedFromAnOnDemandMachineThatNothingElseNeeds) {
+TEST(BestEffort, IsDrainedFromOtherwiseUnneededOnDemandMachine) {
   ScalingShard test;
   Machine& machine = test.add_machine("m");
-  Job& guest = test.add("run-1", "guests", Shape::array, Priority::low, 1);
+  Job& guest = test.load_job("run-1", "guests", Shape::array, Priority::low, 1);
   guest.accepted = test.context.wall - seconds(500);
-  test.pass();
+  test.run_scheduling_pass();
   ASSERT_EQ(guest.present, 1u);
   machine.needed_at = test.context.now;
-  test.creations();
-  EXPECT_TRUE(machine.tasks.begin()->second.wanted) << "other work may still need it";
+  test.tick_autoscaler();
+  EXPECT_TRUE(machine.tasks.begin()->second.wanted) << "other tasks may still need the machine";
   test.context.now += seconds(30);
   machine.liveness.last_status_at = test.context.now;
   machine.liveness.last_heartbeat_at = test.context.now;
-  test.creations();
+  test.tick_autoscaler();
   EXPECT_FALSE(machine.tasks.begin()->second.wanted);
 }
 
-// Machines for best-effort work were once created before those for other work, as they were more.
-TEST(ScaleOut, CreatesMachinesForBestEffortWorkLast) {
+// Machines for best-effort tasks used to be created before those for other tasks, because there were more
+// best-effort tasks.
+TEST(ScaleOut, CreatesMachinesForBestEffortTasksLast) {
   ScalingShard test;
-  test.add("run-1", "guests", Shape::array, Priority::low, 10);
-  Job& service = test.add("run-2", "t", Shape::service, Priority::production, 1);
+  test.load_job("run-1", "guests", Shape::array, Priority::low, 10);
+  Job& service = test.load_job("run-2", "t", Shape::service, Priority::production, 1);
   service.spec.spot = false;
-  test.pass();
-  const std::vector<CreateMachines> creations = test.creations();
+  test.run_scheduling_pass();
+  const std::vector<CreateMachines> creations = test.tick_autoscaler();
   ASSERT_EQ(creations.size(), 1u);
   EXPECT_FALSE(creations[0].spot);
 }
 
-// A machine that boots for longer than usual is replaced; but when all that were created since are slow as
-// well, that would bring twice what is needed.
-TEST(ScaleOut, ReplacesAnOverdueMachineUnlessAllOfItsTypeAreSlow) {
+// A machine that takes longer than usual to boot is replaced. If no machine of its type that was created at
+// the same time or later has come up, the whole type boots slowly, and replacements would create twice the
+// capacity needed.
+TEST(ScaleOut, ReplacesOverdueMachineUnlessItsTypeBootsSlowly) {
   struct Case {
     const char* what;
-    bool other_came_up;
-    double overdue_by_s;
+    bool other_is_running;  ///< a machine of the same type, created later
+    double age_s;           ///< of the booting machine, which usually takes 40 s
     std::size_t creations;
   };
-  for (const Case& c : std::vector<Case>{{"still in time", true, 60, 0},
-                                         {"overtaken by another", true, 80, 1},
-                                         {"all are slow", false, 80, 0},
-                                         {"given up", false, 120, 1}}) {
+  for (const Case& c : std::vector<Case>{{"not overdue yet", true, 60, 0},
+                                         {"overdue, while a newer machine is running", true, 80, 1},
+                                         {"overdue, like all machines of its type", false, 80, 0},
+                                         {"overdue for so long that it is given up", false, 120, 1}}) {
     ScalingShard test;
-    test.add_booting("n-1", seconds(c.overdue_by_s));
-    if (c.other_came_up) test.add_machine("n-2").lifecycle.quarantined = true;  // it takes nothing itself
-    test.add("run-1", "t", Shape::array, Priority::normal, 2);
-    test.pass();
-    EXPECT_EQ(test.creations().size(), c.creations) << c.what;
+    test.add_booting("n-1", seconds(c.age_s));
+    if (c.other_is_running)
+      test.add_machine("n-2").lifecycle.quarantined = true;  // so that no task is placed on it
+    test.load_job("run-1", "t", Shape::array, Priority::normal, 2);
+    test.run_scheduling_pass();
+    EXPECT_EQ(test.tick_autoscaler().size(), c.creations) << c.what;
   }
 }
 
