--- a/tests/records_test.cpp
+++ b/tests/records_test.cpp
@@ -1,4 +1,5 @@
-// Stored records: what is written is read again, and an unreadable record names the field that is wrong.
+// Stored records: what is written can be read back, and the error for an unreadable record names the invalid
+// field.
 
 #include "core/model/records.h"
 
@@ -18,7 +19,7 @@
   return job;
 }
 
-TEST(Records, AreReadAsTheyWereWritten) {
+TEST(Records, RoundTripThroughJson) {
   const Value stored = to_json(live());
   const auto read = live_job(stored);
   ASSERT_TRUE(read.ok());
@@ -36,11 +37,11 @@
   EXPECT_EQ(read_done->front().bits, written.front().bits);
 }
 
-TEST(Records, ThatCannotBeReadNameTheFieldAndWhatIsWrong) {
+TEST(Records, ReadErrorNamesFieldAndKind) {
   using Kind = ReadError::Kind;
   struct Case {
     const char* field;
-    Value value;  ///< null: removed
+    Value value;  ///< replaces that of the field; null: the field is removed
     Kind kind;
   };
   const std::vector<Case> cases = {{"/part", nullptr, Kind::missing_field},
@@ -66,7 +67,7 @@
   EXPECT_EQ(done(Value::array({{"run-1", 0, "0x"}})).error(), (ReadError{Kind::out_of_range, "/0/2"}));
 }
 
-TEST(Records, ThatAreNotThereAreNoRecord) {
+TEST(Records, AbsentKeyReadsAsNoRecord) {
   StoreResponse response;
   response.outcome = StoreResponse::Outcome::absent;
   EXPECT_EQ(read_first(response, live_job).error().kind, ReadError::Kind::no_record);
