--- a/tests/record_bytes_main.cpp
+++ b/tests/record_bytes_main.cpp
@@ -1,4 +1,5 @@
-// Prints one of the files in tests/recorded, as the present sources write it (see recorded_cases.h).
+// Prints the content of one of the files in tests/recorded, as the current sources write it (see
+// recorded_cases.h).
 
 #include <cstdio>
 #include <exception>
@@ -10,48 +11,49 @@
 
 using nlohmann::json;
 
-json entries(const std::vector<StoredRecord>& stored) {
+json entries(const std::vector<StoredRecord>& records) {
   json out = json::array();
-  for (const StoredRecord& r : stored) out.push_back({{"name", r.name}, {"key", r.key}, {"value", r.value}});
+  for (const StoredRecord& r : records) out.push_back({{"name", r.name}, {"key", r.key}, {"value", r.value}});
   return out;
 }
 
-json entries(const std::vector<Written>& written) {
+json entries(const std::vector<SentMessage>& messages) {
   json out = json::array();
-  for (const Written& w : written) out.push_back({{"name", w.name}, {"bytes", w.bytes}});
+  for (const SentMessage& m : messages) out.push_back({{"name", m.name}, {"bytes", m.bytes}});
   return out;
 }
 
-json entries(const std::vector<Understood>& understood) {
+json entries(const std::vector<ReceivedBody>& bodies) {
   json out = json::array();
-  for (const Understood& u : understood)
+  for (const ReceivedBody& b : bodies)
     out.push_back(
-        {{"name", u.name}, {"status", u.status}, {"body", u.body}, {"read_as", u.read(u.status, u.body)}});
+        {{"name", b.name}, {"status", b.status}, {"body", b.body}, {"read_as", b.read(b.status, b.body)}});
   return out;
 }
 
-std::string hex_lines(const std::vector<Written>& frames) {
+std::string hex_lines(const std::vector<SentMessage>& frames) {
   std::string out;
-  for (const Written& f : frames) out += f.name + ": " + to_hex(f.bytes) + "\n";
+  for (const SentMessage& f : frames) out += f.name + ": " + to_hex(f.bytes) + "\n";
   return out;
 }
 
-std::string file(const std::string& name) {
+/// The content of a file in tests/recorded, given its name without extension; empty if there is no such file.
+std::string content_of(const std::string& name) {
   if (name == "peer_messages") return hex_lines(peer_frames());
   json out;
   if (name == "records")
     out = {{"written", entries(stored_records())}, {"unreadable", entries(unreadable_records())}};
   else if (name == "wire")
-    out = {{"written", entries(written_bodies())},
-           {"administration", entries(administration_bodies())},
-           {"understood", entries(understood_bodies())}};
+    out = {{"written", entries(sent_bodies())},
+           {"administration", entries(admin_bodies())},
+           {"understood", entries(received_bodies())}};
   else if (name == "store")
-    out = store_in_the_middle_of_a_day();
+    out = store_snapshot_mid_run();
   return out.is_null() ? "" : out.dump(1) + "\n";
 }
 
 int run(const std::string& name) {
-  const std::string text = file(name);
+  const std::string text = content_of(name);
   if (text.empty()) {
     std::fputs("usage: bendtide_record_bytes records|peer_messages|wire|store\n", stderr);
     return 2;
--- a/tests/recorded_bytes_test.cpp
+++ b/tests/recorded_bytes_test.cpp
@@ -1,5 +1,5 @@
-// Stored data and wire forms stay what they were, byte for byte: the present sources against the files in
-// tests/recorded (see recorded_cases.h).
+// Checks that stored data and wire formats are unchanged, byte for byte: compares what the current sources
+// write and read with the files in tests/recorded (see recorded_cases.h).
 
 #include <gtest/gtest.h>
 
@@ -19,7 +19,7 @@
 
 std::ifstream open_recorded(const std::string& file) {
   std::ifstream in(std::string(BENDTIDE_RECORDED_FOLDER) + "/" + file);
-  if (!in) throw std::runtime_error(file + " can't be read");
+  if (!in) throw std::runtime_error("cannot read the recorded file " + file);
   return in;
 }
 
@@ -28,18 +28,18 @@
   return json::parse(in);
 }
 
-/// One list of a recorded file, which is never empty: a test over no case would see nothing.
+/// One list of a recorded file. Throws if it is empty, because a test without cases would check nothing.
 json recorded_list(const std::string& file, const char* list) {
   json out = recorded_json(file).at(list);
-  if (out.empty()) throw std::runtime_error(file + " has nothing in " + list);
+  if (out.empty()) throw std::runtime_error(file + " has an empty list " + list);
   return out;
 }
 
 std::string text(const json& entry, const char* field) { return entry.at(field).get<std::string>(); }
 
-std::vector<Written> recorded_frames() {
+std::vector<SentMessage> recorded_frames() {
   std::ifstream in = open_recorded("peer_messages.txt");
-  std::vector<Written> out;
+  std::vector<SentMessage> out;
   for (std::string line; std::getline(in, line);) {
     const auto colon = line.find(": ");
     out.push_back({line.substr(0, colon), from_hex(line.substr(colon + 2))});
@@ -47,7 +47,7 @@
   return out;
 }
 
-void expect_same(const std::vector<Written>& built, const std::vector<Written>& recorded) {
+void expect_same(const std::vector<SentMessage>& built, const std::vector<SentMessage>& recorded) {
   ASSERT_EQ(built.size(), recorded.size());
   for (std::size_t i = 0; i < built.size(); ++i) {
     EXPECT_EQ(built[i].name, recorded[i].name);
@@ -55,15 +55,15 @@
   }
 }
 
-std::vector<Written> written_rows(const json& entries) {
-  std::vector<Written> out;
+std::vector<SentMessage> written_rows(const json& entries) {
+  std::vector<SentMessage> out;
   for (const json& entry : entries) out.push_back({text(entry, "name"), text(entry, "bytes")});
   return out;
 }
 
 // ---- records -------------------------------------------------------------------------------------
 
-TEST(RecordedRecords, AreWrittenAsTheyWere) {
+TEST(RecordedRecords, SerializationIsUnchanged) {
   const json recorded = recorded_list("records.json", "written");
   const std::vector<StoredRecord> built = stored_records();
   ASSERT_EQ(built.size(), recorded.size());
@@ -74,44 +74,44 @@
   }
 }
 
-TEST(RecordedRecords, AreReadAndWrittenBackTheSame) {
+TEST(RecordedRecords, RoundTripIsUnchanged) {
   for (const json& entry : recorded_list("records.json", "written"))
-    EXPECT_EQ(read_and_write_record(text(entry, "key"), text(entry, "value")), text(entry, "value"))
+    EXPECT_EQ(round_trip_record(text(entry, "key"), text(entry, "value")), text(entry, "value"))
         << text(entry, "name");
 }
 
-TEST(RecordedRecords, UnreadableOnesStayUnreadable) {
+TEST(RecordedRecords, UnreadableRecordsAreRejected) {
   for (const json& entry : recorded_list("records.json", "unreadable"))
-    EXPECT_EQ(read_and_write_record(text(entry, "key"), text(entry, "value")), std::nullopt)
+    EXPECT_EQ(round_trip_record(text(entry, "key"), text(entry, "value")), std::nullopt)
         << text(entry, "name");
 }
 
 // ---- messages between controllers ----------------------------------------------------------------
 
-TEST(RecordedFrames, AreEncodedAsTheyWere) { expect_same(peer_frames(), recorded_frames()); }
+TEST(RecordedFrames, EncodingIsUnchanged) { expect_same(peer_frames(), recorded_frames()); }
 
-TEST(RecordedFrames, AreDecodedAndEncodedBackTheSame) {
-  for (const Written& frame : recorded_frames())
-    EXPECT_EQ(read_and_write_frame(frame.bytes), frame.bytes) << frame.name;
+TEST(RecordedFrames, RoundTripIsUnchanged) {
+  for (const SentMessage& frame : recorded_frames())
+    EXPECT_EQ(round_trip_frame(frame.bytes), frame.bytes) << frame.name;
 }
 
-TEST(RecordedFrames, HaveEveryKindOfMessage) {
+TEST(RecordedFrames, CoverEveryKindOfMessage) {
   EXPECT_EQ(peer_message_kinds(recorded_frames()), peer_message_kinds());
 }
 
 // ---- bodies --------------------------------------------------------------------------------------
 
-TEST(RecordedBodies, AreWrittenAsTheyWere) {
-  expect_same(written_bodies(), written_rows(recorded_list("wire.json", "written")));
+TEST(RecordedBodies, SerializationIsUnchanged) {
+  expect_same(sent_bodies(), written_rows(recorded_list("wire.json", "written")));
 }
 
-TEST(RecordedBodies, OfTheAdministrationAreWrittenAsTheyWere) {
-  expect_same(administration_bodies(), written_rows(recorded_list("wire.json", "administration")));
+TEST(RecordedBodies, AdminSerializationIsUnchanged) {
+  expect_same(admin_bodies(), written_rows(recorded_list("wire.json", "administration")));
 }
 
-TEST(RecordedBodies, AreUnderstoodAsTheyWere) {
+TEST(RecordedBodies, ParsingIsUnchanged) {
   const json recorded = recorded_list("wire.json", "understood");
-  const std::vector<Understood> built = understood_bodies();
+  const std::vector<ReceivedBody> built = received_bodies();
   ASSERT_EQ(built.size(), recorded.size());
   for (std::size_t i = 0; i < built.size(); ++i) {
     const json& entry = recorded[i];
@@ -122,39 +122,39 @@
   }
 }
 
-// ---- a whole store -------------------------------------------------------------------------------
+// ---- store snapshot ------------------------------------------------------------------------------
 
-/// The records of the store whose keys begin with `prefix`: there always are some.
+/// The records of the store snapshot whose keys begin with `prefix`. Throws if there are none.
 std::vector<json> recorded_rows(const std::string& prefix) {
   std::vector<json> out;
   for (const json& entry : recorded_list("store.json", "rows"))
     if (text(entry, "key").starts_with(prefix)) out.push_back(entry);
-  if (out.empty()) throw std::runtime_error("store.json has no " + prefix);
+  if (out.empty()) throw std::runtime_error("store.json has no record with the prefix " + prefix);
   return out;
 }
 
-TEST(RecordedStore, HasEveryKindOfRecord) {
+TEST(RecordedStore, CoversEveryKindOfRecord) {
   for (const char* prefix :
        {"hold/", "room/", "live/", "job/", "done/", "award/", "claim/-/", "claim/node-0/", "catalogue"})
     EXPECT_NO_THROW(recorded_rows(prefix)) << prefix;
 }
 
-TEST(RecordedStore, IsReadAndWrittenBackTheSame) {
+TEST(RecordedStore, RoundTripIsUnchanged) {
   for (const json& entry : recorded_rows("")) {
     const std::string value = entry.at("value").dump();
-    EXPECT_EQ(read_and_write_record(text(entry, "key"), value), value) << text(entry, "key");
+    EXPECT_EQ(round_trip_record(text(entry, "key"), value), value) << text(entry, "key");
   }
 }
 
-TEST(RecordedStore, IsGivenBackByTheSimulatedStore) {
+TEST(RecordedStore, SimulatedStoreRestoresSnapshot) {
   const json recorded = recorded_json("store.json");
   sim::SimulatedKeyValueStore state(sim::settings_for());
   state.restore(recorded, Micros{0});
   EXPECT_EQ(state.snapshot(), recorded);
 }
 
-/// A controller that comes up alone with the recorded store: no peer, no cloud and no worker answers it.
-class TakeOver : public testing::Test {
+/// A controller that starts alone with the recorded store. No peer, no cloud and no worker responds to it.
+class ShardTakeover : public testing::Test {
  protected:
   static Settings settings() {
     Settings s = sim::settings_for();
@@ -164,10 +164,11 @@
     return s;
   }
 
-  /// Long enough for the recorded leases to end, for all shards to be taken and for all jobs to be read.
+  /// Runs the controller for 60 s: until the recorded leases have expired, all shards are acquired, and all
+  /// jobs are loaded.
   void SetUp() override {
     state_.restore(recorded_json("store.json"), now_);
-    for (const Micros ready = now_ + seconds(60); now_ < ready;) step();
+    for (const Micros end = now_ + seconds(60); now_ < end;) step();
   }
 
   void step() {
@@ -198,6 +199,7 @@
       if (line->level == LogLevel::error) errors_.push_back(line->text);
   }
 
+  /// The reply to a user's poll of a job. Waits up to 2 s for it; default-constructed if there is none.
   UserReply poll(const std::string& job) {
     reply_.reset();
     controller_.on_poll(++requests_, job);
@@ -206,7 +208,7 @@
     return reply_.value_or(UserReply{});
   }
 
-  /// The values of one field in an overview for administrators.
+  /// The values of one field in all entries of an administrators' overview.
   std::set<std::string> listed(AdminRequest::What what, const char* field) {
     controller_.on_admin(++requests_, {what, {}});
     perform_all();
@@ -217,19 +219,21 @@
 
   Micros now_ = seconds(1000);
   sim::SimulatedKeyValueStore state_{settings()};
-  Controller controller_{settings(), "later-life", 1};
+  Controller controller_{settings(), "new-incarnation", 1};
   std::uint64_t requests_ = 0;
   std::optional<UserReply> reply_;
   json overview_;
   std::vector<std::string> errors_;
 };
 
+/// The job id in the key of a record.
 std::string job_of(const json& entry) {
   const std::string key = text(entry, "key");
   return key.substr(key.find('/') + 1);
 }
 
-/// Adds the tasks whose bits are set: the lowest bit of the first digit stands for the first task.
+/// Adds the indices of the tasks whose bits are set. The lowest bit of the first digit stands for the first
+/// task.
 void add_tasks_of_bitmap(const std::string& hex, std::set<std::size_t>& tasks) {
   for (std::size_t i = 0; i < hex.size(); ++i) {
     const int digit = std::stoi(hex.substr(i, 1), nullptr, 16);
@@ -238,9 +242,9 @@
   }
 }
 
-/// How many tasks of a job (of one chunk) are finished: a task may stand in the done records of several
-/// shards.
-std::size_t recorded_finished(const std::string& job) {
+/// The number of finished tasks of a job whose tasks fit in one chunk. Counts a task once, even if the done
+/// records of several shards contain it.
+std::size_t recorded_finished_tasks(const std::string& job) {
   std::set<std::size_t> tasks;
   for (const json& entry : recorded_rows("done/"))
     for (const json& bitmap : entry.at("value"))
@@ -248,9 +252,9 @@
   return tasks.size();
 }
 
-TEST_F(TakeOver, LogsNoError) { EXPECT_EQ(errors_, std::vector<std::string>{}); }
+TEST_F(ShardTakeover, LogsNoError) { EXPECT_EQ(errors_, std::vector<std::string>{}); }
 
-TEST_F(TakeOver, KnowsEveryLiveJob) {
+TEST_F(ShardTakeover, PollsFindEveryLiveJob) {
   for (const json& entry : recorded_rows("live/")) {
     const UserReply reply = poll(job_of(entry));
     EXPECT_EQ(reply.status, 200) << job_of(entry);
@@ -258,22 +262,22 @@
   }
 }
 
-TEST_F(TakeOver, LoadsEveryLiveJob) {
+TEST_F(ShardTakeover, LoadsEveryLiveJob) {
   const std::set<std::string> jobs = listed(AdminRequest::What::jobs, "job");
   for (const json& entry : recorded_rows("live/")) EXPECT_TRUE(jobs.contains(job_of(entry))) << job_of(entry);
 }
 
-TEST_F(TakeOver, KnowsWhichTasksAreFinished) {
-  std::size_t all = 0;
+TEST_F(ShardTakeover, LoadsFinishedTasks) {
+  std::size_t total_finished = 0;
   for (const json& entry : recorded_rows("live/")) {
-    const std::size_t finished = recorded_finished(job_of(entry));
+    const std::size_t finished = recorded_finished_tasks(job_of(entry));
     EXPECT_EQ(poll(job_of(entry)).done, finished) << job_of(entry);
-    all += finished;
+    total_finished += finished;
   }
-  EXPECT_GT(all, 0u);
+  EXPECT_GT(total_finished, 0u);
 }
 
-TEST_F(TakeOver, KeepsFinalStates) {
+TEST_F(ShardTakeover, PreservesFinalStates) {
   for (const json& entry : recorded_rows("job/")) {
     const UserReply reply = poll(job_of(entry));
     EXPECT_EQ(reply.status, 200) << job_of(entry);
@@ -282,7 +286,7 @@
   }
 }
 
-TEST_F(TakeOver, KnowsEveryClaimedMachine) {
+TEST_F(ShardTakeover, LoadsEveryOwnedMachine) {
   const std::set<std::string> machines = listed(AdminRequest::What::machines, "machine");
   for (const json& entry : recorded_rows("claim/")) {
     if (!entry.at("value").is_array()) continue;
@@ -291,7 +295,7 @@
   }
 }
 
-TEST_F(TakeOver, KnowsNoOtherJob) { EXPECT_EQ(poll("run-999999999").status, 404); }
+TEST_F(ShardTakeover, UnknownJobIsNotFound) { EXPECT_EQ(poll("run-999999999").status, 404); }
 
 }  // namespace
 }  // namespace bendtide::recorded
--- a/tests/recorded_cases.cpp
+++ b/tests/recorded_cases.cpp
@@ -12,12 +12,12 @@
 
 namespace {
 
-constexpr auto kLeast64 = std::numeric_limits<std::int64_t>::min();
-constexpr auto kMost64 = std::numeric_limits<std::int64_t>::max();
+constexpr auto kMin64 = std::numeric_limits<std::int64_t>::min();
+constexpr auto kMax64 = std::numeric_limits<std::int64_t>::max();
 
 records::LiveJob live_job(const JobSpec& spec) { return {"node-1", spec, Micros{1'000'012'345'678}}; }
 
-/// Finished tasks in one chunk: every `step`th of `tasks`.
+/// The finished tasks of one chunk with `tasks` tasks, of which every `step`th is finished.
 records::DoneBits done_chunk(const std::string& job, std::uint32_t chunk, std::size_t tasks,
                              std::size_t step) {
   records::DoneBits out{job, chunk, std::vector<bool>(tasks)};
@@ -25,7 +25,7 @@
   return out;
 }
 
-std::vector<StoredRecord> holder_records() {
+std::vector<StoredRecord> lease_and_quota_records() {
   using namespace records;
   QuotaAllocation quota_shares;
   quota_shares.quota_shares = {
@@ -78,7 +78,7 @@
   };
 }
 
-std::vector<StoredRecord> platform_records() {
+std::vector<StoredRecord> machine_and_policy_records() {
   using namespace records;
   const std::vector<OwnedMachine> two{
       {"n-000001", "small", "east", false, "10.0.0.1:9000", Micros{1'000'000'000'000}},
@@ -101,22 +101,22 @@
   };
 }
 
-// ---- reading records -----------------------------------------------------------------------------
+// ---- round trips of records ----------------------------------------------------------------------
 
 template <class Record>
-std::optional<std::string> written(const records::ReadResult<Record>& record) {
+std::optional<std::string> serialize(const records::ReadResult<Record>& record) {
   if (!record) return std::nullopt;
   return records::to_json(*record).dump();
 }
 
-std::optional<std::string> read_and_write_policy(const Value& value) {
+std::optional<std::string> round_trip_policy(const Value& value) {
   Policy policy;
   if (policy.apply(value)) return std::nullopt;
   return Policy::to_json(policy).dump();
 }
 
-std::optional<std::string> read_and_write_claims(const std::string& key, const Value& value) {
-  if (records::split_key(key).at(1) != records::kHomeShards) return written(records::owned_machines(value));
+std::optional<std::string> round_trip_owned_machines(const std::string& key, const Value& value) {
+  if (records::split_key(key).at(1) != records::kHomeShards) return serialize(records::owned_machines(value));
   if (!value.is_string()) return std::nullopt;
   return Value(value.get<std::string>()).dump();
 }
@@ -125,7 +125,7 @@
 
 using NamedMessages = std::vector<std::pair<std::string, PeerMessage>>;
 
-NamedMessages messages_about_jobs() {
+NamedMessages job_messages() {
   NamedMessages out = {{"poll", JobQuery{0, JobQuery::Kind::poll, "run-1", false, {}}},
                        {"poll worth a read", JobQuery{1, JobQuery::Kind::poll, "run-1", true, {}}},
                        {"cancel", JobQuery{UINT64_MAX, JobQuery::Kind::cancel, "run-22", false, {}}}};
@@ -139,7 +139,7 @@
   return out;
 }
 
-NamedMessages messages_of_the_contract_net() {
+NamedMessages negotiation_messages() {
   CallForProposals call;
   call.id = 4711;
   call.from_shard = "node-0";
@@ -156,37 +156,33 @@
   call.id = UINT64_MAX;
   call.round = 3;
   call.disclosed = true;
-  call.each = {kMost64, kLeast64, 0};
+  call.each = {kMax64, kMin64, 0};
   for (const auto& [name, priority] : priorities()) {
     call.priority = priority;
-    call.deadline_in = call.deadline_in == Micros{0} ? seconds(-3) : Micros{kMost64};
+    call.deadline_in = call.deadline_in == Micros{0} ? seconds(-3) : Micros{kMax64};
     out.emplace_back("call disclosed " + name, call);
   }
   out.emplace_back("proposal", Proposal{9, 3, "node-1", 12, seconds(2), 730, 4711, {8000, 0}});
   out.emplace_back("proposal refused", Proposal{9, 1, "node-1", 0, {}, 0, 0, {}});
-  out.emplace_back("proposal extremes", Proposal{UINT64_MAX,
-                                                 UINT32_MAX,
-                                                 "",
-                                                 UINT32_MAX,
-                                                 Micros{kLeast64},
-                                                 UINT32_MAX,
-                                                 UINT64_MAX,
-                                                 {kLeast64, kMost64}});
+  out.emplace_back(
+      "proposal extremes",
+      Proposal{
+          UINT64_MAX, UINT32_MAX, "", UINT32_MAX, Micros{kMin64}, UINT32_MAX, UINT64_MAX, {kMin64, kMax64}});
   out.emplace_back("awarded", AwardNotice{"node-1"});
   out.emplace_back("progress", ProgressNotice{"node-0"});
   out.emplace_back("lend", QuotaTransferRequest{"node-0", "node-1", "green", {1, 2}, seconds(3)});
-  out.emplace_back("lend extremes", QuotaTransferRequest{"", "", "", {kMost64, kLeast64}, Micros{kMost64}});
+  out.emplace_back("lend extremes", QuotaTransferRequest{"", "", "", {kMax64, kMin64}, Micros{kMax64}});
   return out;
 }
 
-NamedMessages messages_of_holders() {
+NamedMessages leader_messages() {
   UnreachableMachine machine{"n-1", seconds(3), seconds(4), {}};
   for (const auto& [name, phase] : task_phases())
     machine.tasks.push_back({{"run-" + std::to_string(machine.tasks.size()), UINT32_MAX},
                              UINT64_MAX - machine.tasks.size(),
                              phase,
                              ExitCause::none});
-  const UnreachableMachine idle{"n-2", Micros{kLeast64}, Micros{kMost64}, {}};
+  const UnreachableMachine idle{"n-2", Micros{kMin64}, Micros{kMax64}, {}};
   return {{"hand back", FailbackRequest{"node-2"}},
           {"hand back a part with a long name", FailbackRequest{std::string(300, 'p')}},
           {"hand back a part with other letters", FailbackRequest{"n\xC3\xB8"
@@ -203,7 +199,8 @@
 
 std::vector<StoredRecord> stored_records() {
   std::vector<StoredRecord> out;
-  for (const auto& kind : {holder_records(), job_records(), done_records(), platform_records()})
+  for (const auto& kind :
+       {lease_and_quota_records(), job_records(), done_records(), machine_and_policy_records()})
     out.insert(out.end(), kind.begin(), kind.end());
   return out;
 }
@@ -227,24 +224,24 @@
   };
 }
 
-std::optional<std::string> read_and_write_record(const std::string& key, const std::string& value) {
+std::optional<std::string> round_trip_record(const std::string& key, const std::string& value) {
   const Value v = Value::parse(value);
   const std::string kind = records::split_key(key).front();
-  if (kind == "hold") return written(records::lease_record(v));
-  if (kind == "room") return written(records::quota_allocation(v));
-  if (kind == "job") return written(records::final_job(v));
-  if (kind == "live") return written(records::live_job(v));
-  if (kind == "award") return written(records::award(v));
-  if (kind == "done") return written(records::done(v));
-  if (kind == "claim") return read_and_write_claims(key, v);
-  if (kind == "catalogue") return written(records::catalogue(v));
-  if (kind == "policy") return read_and_write_policy(v);
+  if (kind == "hold") return serialize(records::lease_record(v));
+  if (kind == "room") return serialize(records::quota_allocation(v));
+  if (kind == "job") return serialize(records::final_job(v));
+  if (kind == "live") return serialize(records::live_job(v));
+  if (kind == "award") return serialize(records::award(v));
+  if (kind == "done") return serialize(records::done(v));
+  if (kind == "claim") return round_trip_owned_machines(key, v);
+  if (kind == "catalogue") return serialize(records::catalogue(v));
+  if (kind == "policy") return round_trip_policy(v);
   return std::nullopt;
 }
 
-std::vector<Written> peer_frames() {
-  std::vector<Written> out;
-  for (const auto& kind : {messages_about_jobs(), messages_of_the_contract_net(), messages_of_holders()})
+std::vector<SentMessage> peer_frames() {
+  std::vector<SentMessage> out;
+  for (const auto& kind : {job_messages(), negotiation_messages(), leader_messages()})
     for (const auto& [name, message] : kind) out.push_back({name, codec::encode({"node-0", message})});
   out.push_back({"frame of a nameless sender", codec::encode({"", AwardNotice{}})});
   return out;
@@ -252,13 +249,13 @@
 
 std::size_t peer_message_kinds() { return std::variant_size_v<PeerMessage>; }
 
-std::size_t peer_message_kinds(const std::vector<Written>& frames) {
+std::size_t peer_message_kinds(const std::vector<SentMessage>& frames) {
   std::set<std::size_t> kinds;
-  for (const Written& frame : frames) kinds.insert(codec::decode(frame.bytes).envelope.message.index());
+  for (const SentMessage& frame : frames) kinds.insert(codec::decode(frame.bytes).envelope.message.index());
   return kinds.size();
 }
 
-std::optional<std::string> read_and_write_frame(const std::string& frame) {
+std::optional<std::string> round_trip_frame(const std::string& frame) {
   const codec::Decoded decoded = codec::decode(frame);
   if (decoded.state != codec::Decoded::State::complete || decoded.consumed != frame.size())
     return std::nullopt;
--- a/tests/recorded_cases.h
+++ b/tests/recorded_cases.h
@@ -1,14 +1,14 @@
-// The cases of the recorded-bytes test: values built in code, and the bytes that they are written as.
+// The cases of the recorded-bytes test: values built in code, and the bytes that they are serialized to.
 //
-// The files in tests/recorded hold the bytes that some earlier version of the program wrote. They stand for
-// what is in state services, in clients and in controllers of other versions, so they are only ever added to:
-// a difference is a change of a wire form or of stored data.
+// The files in tests/recorded hold bytes that earlier versions of the program wrote. They represent the data
+// in existing key-value stores, and the messages of clients and controllers of other versions. Cases are
+// therefore only added to these files: any other difference is a change of a wire format or of stored data.
 //
-// bendtide_record_bytes prints what the present sources write; to add cases, append them here and print
-// again:
+// bendtide_record_bytes prints what the current sources write. To add cases, append them in the code and
+// record the file again:
 //   bendtide_record_bytes records > tests/recorded/records.json
-// and see in the difference that no line changed. store.json is the content of a key-value store at one
-// moment of a simulated day, and need not be recorded again when the day changes.
+// Then check in the diff that no existing line has changed. store.json is the content of a key-value store at
+// one moment of a simulated run. It need not be recorded again when the simulation changes.
 #pragma once
 
 #include <functional>
@@ -26,46 +26,50 @@
   std::string value;  ///< JSON text
 };
 
-/// Something that this program writes: a frame between controllers, or a request or a body as text.
-struct Written {
+/// Something that the program sends: an encoded frame between controllers, or a request or a body as text.
+struct SentMessage {
   std::string name;
   std::string bytes;
 };
 
-/// A body that this program reads, and what it makes of it.
-struct Understood {
+/// A received body, and what the program reads from it.
+struct ReceivedBody {
   std::string name;
-  int status = 0;  ///< of an answer; 0 for a request
+  int status = 0;  ///< HTTP status of a response; 0 for a request
   std::string body;
-  /// Describes what is read from a status and a body, as text with every field.
+  /// Returns what the program reads from a status and a body, as text with every field, or why it refuses
+  /// them.
   std::function<std::string(int status, const std::string& body)> read;
 };
 
-/// Every kind of stored record, with optional fields present and absent, and every enumerator.
+/// Records of every kind, with optional fields present and absent, and with every enumerator.
 std::vector<StoredRecord> stored_records();
-/// Values that do not fit their key: they are read as no record at all.
+/// Invalid records: either the value is not valid for its key, or no kind of record has such a key. All of
+/// them are rejected.
 std::vector<StoredRecord> unreadable_records();
-/// Reads a value as the record that its key says, and writes it again; none if it can't be read or if no
-/// kind of record has such a key.
-std::optional<std::string> read_and_write_record(const std::string& key, const std::string& value);
+/// Parses a value as the kind of record that its key stands for, and serializes the record again. Returns
+/// none if the value is invalid or if no kind of record has such a key.
+std::optional<std::string> round_trip_record(const std::string& key, const std::string& value);
 
-/// A frame for every message between controllers.
-std::vector<Written> peer_frames();
-/// How many kinds of messages between controllers there are, and how many `frames` has.
+/// Frames for every kind of message between controllers.
+std::vector<SentMessage> peer_frames();
+/// The number of kinds of messages between controllers.
 std::size_t peer_message_kinds();
-std::size_t peer_message_kinds(const std::vector<Written>& frames);
-/// Decodes a frame and encodes it again; none if it can't be decoded.
-std::optional<std::string> read_and_write_frame(const std::string& frame);
+/// The number of kinds of messages that `frames` contain.
+std::size_t peer_message_kinds(const std::vector<SentMessage>& frames);
+/// Decodes a frame and encodes it again. Returns none if it cannot be decoded.
+std::optional<std::string> round_trip_frame(const std::string& frame);
 
-/// Bodies for users and workers, and requests to the key-value store, the cloud and workers.
-std::vector<Written> written_bodies();
-/// Answers to administrators, for a controller with one machine and one job.
-std::vector<Written> administration_bodies();
-/// Bodies from users and workers, and answers of the key-value store, the cloud and workers.
-std::vector<Understood> understood_bodies();
+/// Submissions, heartbeats, replies to users and workers, and requests to the key-value store, the cloud and
+/// workers.
+std::vector<SentMessage> sent_bodies();
+/// Response bodies of the administration API, for a controller with one machine and one job.
+std::vector<SentMessage> admin_bodies();
+/// Bodies from users and workers, and responses of the key-value store, the cloud and workers.
+std::vector<ReceivedBody> received_bodies();
 
-/// The content of a key-value store in the middle of a simulated day.
-nlohmann::json store_in_the_middle_of_a_day();
+/// The content of the key-value store in the middle of a simulated run.
+nlohmann::json store_snapshot_mid_run();
 
 std::string to_hex(const std::string& bytes);
 std::string from_hex(const std::string& hex);
--- a/tests/recorded_store.cpp
+++ b/tests/recorded_store.cpp
@@ -3,7 +3,7 @@
 
 namespace bendtide::recorded {
 
-nlohmann::json store_in_the_middle_of_a_day() {
+nlohmann::json store_snapshot_mid_run() {
   sim::FaultScenario scenario;
   scenario.seed = 3;
   scenario.inject_faults = false;
--- a/tests/recorded_values.h
+++ b/tests/recorded_values.h
@@ -1,4 +1,5 @@
-// Values of the core's types that several cases of the recorded-bytes test are built from.
+// Values of core types that several cases of the recorded-bytes test share. The strings that name them are
+// part of the recorded data.
 #pragma once
 
 #include <string>
@@ -9,6 +10,7 @@
 
 namespace bendtide::recorded {
 
+/// Values with the names that they have in the recorded cases.
 template <class T>
 using Named = std::vector<std::pair<std::string, T>>;
 
@@ -39,7 +41,7 @@
           {"busy", ExitCause::busy},     {"unknown", ExitCause::unknown}};
 }
 
-/// An array with no optional field.
+/// An array job without optional fields.
 inline JobSpec plain_job() {
   JobSpec s;
   s.id = "run-1";
--- a/tests/recorded_wire_cases.cpp
+++ b/tests/recorded_wire_cases.cpp
@@ -14,9 +14,9 @@
 
 using nlohmann::json;
 
-// ---- what is written -----------------------------------------------------------------------------
+// ---- messages that are sent ----------------------------------------------------------------------
 
-Heartbeat report_of(const std::vector<TaskStatus>& tasks) {
+Heartbeat heartbeat_with(const std::vector<TaskStatus>& tasks) {
   Heartbeat r;
   r.machine = "n-000001";
   r.address = "10.0.0.1:9000";
@@ -29,34 +29,35 @@
   return r;
 }
 
-Named<Heartbeat> reports() {
-  Named<Heartbeat> out = {{"empty", report_of({})}};
-  out.emplace_back("extremes", report_of({{{"run-1", UINT32_MAX}, UINT64_MAX, TaskPhase::running, {}}}));
+Named<Heartbeat> heartbeats() {
+  Named<Heartbeat> out = {{"empty", heartbeat_with({})}};
+  out.emplace_back("extremes", heartbeat_with({{{"run-1", UINT32_MAX}, UINT64_MAX, TaskPhase::running, {}}}));
   Heartbeat& extremes = out.back().second;
   extremes.spot = true;
   extremes.incarnation = UINT64_MAX;
   extremes.sequence_number = UINT64_MAX;
   extremes.fencing_token = UINT64_MAX;
   extremes.preemption_notice = seconds(2.5);
-  out.emplace_back("with a notice of zero", report_of({}));
+  out.emplace_back("with a notice of zero", heartbeat_with({}));
   out.back().second.preemption_notice = Micros{0};
   for (const auto& [name, phase] : task_phases())
     if (phase != TaskPhase::exited)
-      out.emplace_back("with a task " + name, report_of({{{"run-1", 3}, 7, phase, ExitCause::none}}));
+      out.emplace_back("with a task " + name, heartbeat_with({{{"run-1", 3}, 7, phase, ExitCause::none}}));
   for (const auto& [name, cause] : exit_causes())
-    out.emplace_back("with a task exited, " + name, report_of({{{"run-1", 0}, 1, TaskPhase::exited, cause}}));
+    out.emplace_back("with a task exited, " + name,
+                     heartbeat_with({{{"run-1", 0}, 1, TaskPhase::exited, cause}}));
   return out;
 }
 
-std::vector<Command> every_order() {
+std::vector<Command> all_commands() {
   return {{Command::Kind::start, {"run-1", 0}, 1, {}},
           {Command::Kind::stop, {"run-1", 1}, 2, seconds(1.5)},
           {Command::Kind::stop, {"run-1", 2}, 3, {}},
           {Command::Kind::forget, {"run-9007199254740993", UINT32_MAX}, UINT64_MAX, {}}};
 }
 
-std::vector<Written> replies_to_users() {
-  std::vector<Written> out;
+std::vector<SentMessage> replies_to_users() {
+  std::vector<SentMessage> out;
   auto add = [&out](const std::string& name, const UserReply& reply) {
     out.push_back({"reply to a user: " + name, wire::body_of(reply)});
   };
@@ -70,22 +71,22 @@
   return out;
 }
 
-std::vector<Written> replies_to_workers() {
-  std::vector<Written> out;
+std::vector<SentMessage> replies_to_workers() {
+  std::vector<SentMessage> out;
   auto add = [&out](const std::string& name, const HeartbeatReply& reply) {
     out.push_back({"reply to a report: " + name, wire::body_of(reply)});
   };
-  add("200", {200, 4711, every_order(), ""});
+  add("200", {200, 4711, all_commands(), ""});
   add("200 without orders", {200, UINT64_MAX, {}, ""});
   add("421", {421, 0, {}, "node-2"});
   add("421 to nobody", {421, 0, {}, ""});
-  add("503", {503, 4711, every_order(), ""});
+  add("503", {503, 4711, all_commands(), ""});
   return out;
 }
 
 std::string text_of(const wire::HttpRequest& r) { return r.method + " " + r.target + "\n" + r.body; }
 
-Named<StoreRequest> state_requests() {
+Named<StoreRequest> store_requests() {
   Transaction commit;
   commit.compares = {{"hold/node-0", 4711}, {"job/run-1", 0}, {"live/run-1", UINT64_MAX}};
   commit.writes = {{"job/run-1", Value{{"phase", 2}, {"tasks", 4}}, 0},
@@ -111,20 +112,20 @@
           {"list on", ListMachines{"n-000001/+"}}};
 }
 
-std::vector<Written> requests() {
-  std::vector<Written> out;
-  for (const auto& [name, request] : state_requests())
+std::vector<SentMessage> requests() {
+  std::vector<SentMessage> out;
+  for (const auto& [name, request] : store_requests())
     out.push_back({"request to the state service: " + name, text_of(wire::request_of(request))});
   for (const auto& [name, request] : cloud_requests())
     out.push_back({"request to the cloud: " + name, text_of(wire::request_of(request))});
-  const CommandRequest every{"10.0.0.1:9000", 2, 4711, every_order()};
+  const CommandRequest every{"10.0.0.1:9000", 2, 4711, all_commands()};
   const CommandRequest none{"10.0.0.1:9000", UINT64_MAX, UINT64_MAX, {}};
   out.push_back({"request to a worker: orders", text_of(wire::request_of(every))});
   out.push_back({"request to a worker: no orders", text_of(wire::request_of(none))});
   return out;
 }
 
-// ---- what is read --------------------------------------------------------------------------------
+// ---- messages that are received ------------------------------------------------------------------
 
 std::string outcome_of(const StoreResponse& a) {
   using Outcome = StoreResponse::Outcome;
@@ -210,67 +211,72 @@
   return outcome_of(a) + " " + (a.heartbeat ? wire::body_of(*a.heartbeat) : "without a report");
 }
 
-/// What was read, written again; or why it could not be read.
+/// The parsed value, serialized again, or the reason why it was refused.
 template <class T>
 std::string describe(const wire::Parsed<T>& parsed) {
   if (const auto* value = std::get_if<T>(&parsed)) return wire::body_of(*value);
   return "refused: " + std::get<wire::FieldError>(parsed).text();
 }
 
-std::string read_job(int /*status*/, const std::string& body) { return describe(wire::parse_job_spec(body)); }
+std::string read_submission(int /*status*/, const std::string& body) {
+  return describe(wire::parse_job_spec(body));
+}
 std::string read_job_id(int /*status*/, const std::string& body) { return wire::find_job_id(body); }
-std::string read_report(int /*status*/, const std::string& body) {
+std::string read_heartbeat(int /*status*/, const std::string& body) {
   return describe(wire::parse_heartbeat(body));
 }
-std::string read_orders_answer(int status, const std::string& body) {
+std::string read_command_response(int status, const std::string& body) {
   return describe(wire::parse_command_response(status, body));
 }
 
-void add_jobs(std::vector<Understood>& out) {
+void add_submissions(std::vector<ReceivedBody>& out) {
   for (const auto& [name, spec] : job_specs())
-    out.push_back({"submission " + name, 0, wire::body_of(spec), read_job});
+    out.push_back({"submission " + name, 0, wire::body_of(spec), read_submission});
   const json good = json::parse(wire::body_of(full_job()));
   out.push_back({"submission: the id alone", 0, good.dump(), read_job_id});
   for (const auto& [field, value] : good.items()) {
     json without = good;
     without.erase(field);
-    out.push_back({"submission without " + field, 0, without.dump(), read_job});
+    out.push_back({"submission without " + field, 0, without.dump(), read_submission});
     json wrong = good;
     wrong[field] = json::object();
-    out.push_back({"submission with an object as " + field, 0, wrong.dump(), read_job});
+    out.push_back({"submission with an object as " + field, 0, wrong.dump(), read_submission});
   }
   for (const char* amount : {"cpus", "cards", "memGb"}) {
     json fine = good;
     fine[amount] = 0.0001234;
-    out.push_back({std::string("submission that needs next to no ") + amount, 0, fine.dump(), read_job});
+    out.push_back(
+        {std::string("submission that needs next to no ") + amount, 0, fine.dump(), read_submission});
   }
   for (const char* text : {"", "{", "[]", "null"})
-    out.push_back({"submission that is none: " + std::string(text), 0, text, read_job});
+    out.push_back({"submission that is none: " + std::string(text), 0, text, read_submission});
 }
 
-void add_reports(std::vector<Understood>& out) {
-  for (const auto& [name, r] : reports()) out.push_back({"report " + name, 0, wire::body_of(r), read_report});
-  const json good = json::parse(wire::body_of(reports().back().second));
+void add_heartbeats(std::vector<ReceivedBody>& out) {
+  for (const auto& [name, r] : heartbeats())
+    out.push_back({"report " + name, 0, wire::body_of(r), read_heartbeat});
+  const json good = json::parse(wire::body_of(heartbeats().back().second));
   for (const auto& [field, value] : good.items()) {
     json without = good;
     without.erase(field);
-    out.push_back({"report without " + field, 0, without.dump(), read_report});
+    out.push_back({"report without " + field, 0, without.dump(), read_heartbeat});
   }
   out.push_back({"report with fields of later versions", 0,
                  R"({"helm":"n-1","address":"10.0.0.1:9","hull":"g","berth":"a","driftwood":true,"watch":2,)"
                  R"("tick":8,"baton":4,"warningS":2.5,"new":[1],"shards":[{"shard":"run-1/3","launch":7,)"
                  R"("phase":"ended","cause":"halted","saved":true}]})",
-                 read_report});
+                 read_heartbeat});
 }
 
-struct Answer {
+/// An HTTP response as the program may receive it.
+struct HttpResponse {
   const char* name;
   int status;
   const char* body;
 };
 
-/// For every request of the key-value store and of the cloud: what any of them may be answered with.
-constexpr Answer kCommonAnswers[] = {
+/// Responses that are parsed for every request to the key-value store and to the cloud.
+constexpr HttpResponse kCommonResponses[] = {
     {"nothing", 200, ""},
     {"no JSON", 200, "nonsense"},
     {"an empty object", 200, "{}"},
@@ -285,7 +291,8 @@
     {"failure", 500, ""},
 };
 
-constexpr Answer kStateAnswers[] = {
+/// Responses that are parsed for every request to the key-value store.
+constexpr HttpResponse kStoreResponses[] = {
     {"a row", 200, R"({"path":"hold/node-0","v":{"host":"node-0","incarnation":"life-1"},"stamp":7})"},
     {"a row with a bad stamp", 200, R"({"path":"k","v":1,"stamp":-7})"},
     {"a row without a value", 200, R"({"path":"k","stamp":7})"},
@@ -298,7 +305,8 @@
     {"a lease", 200, R"({"mooring":12})"},
 };
 
-constexpr Answer kCloudAnswers[] = {
+/// Responses that are parsed for every request to the cloud.
+constexpr HttpResponse kCloudResponses[] = {
     {"a catalogue", 200,
      R"({"hulls":[{"label":"small","cpus":8,"cards":0,"memGb":64.0005,"cacheGb":50,"fetchGbPerS":0.8,)"
      R"("hourly":0.5,"marketPrice":0.12,"readyS":6.5,"berths":["east","west"]},{"label":"cards","cpus":96.5,)"
@@ -315,55 +323,58 @@
      R"({"helms":[{"uid":"n-1","hull":"small","berth":"east","phase":"melting","ageS":1}]})"},
 };
 
-Understood store_case(const std::string& request_name, const StoreRequest& request, const Answer& answer) {
+ReceivedBody store_case(const std::string& request_name, const StoreRequest& request,
+                        const HttpResponse& response) {
   auto read = [request](int status, const std::string& body) {
     return describe(wire::parse_store_response(request, status, body));
   };
-  return {"answer of the state service to " + request_name + ": " + answer.name, answer.status, answer.body,
-          read};
+  return {"answer of the state service to " + request_name + ": " + response.name, response.status,
+          response.body, read};
 }
 
-void add_state_answers(std::vector<Understood>& out) {
-  for (const auto& [name, request] : state_requests()) {
-    for (const Answer& answer : kCommonAnswers) out.push_back(store_case(name, request, answer));
-    for (const Answer& answer : kStateAnswers) out.push_back(store_case(name, request, answer));
+void add_store_responses(std::vector<ReceivedBody>& out) {
+  for (const auto& [name, request] : store_requests()) {
+    for (const HttpResponse& response : kCommonResponses) out.push_back(store_case(name, request, response));
+    for (const HttpResponse& response : kStoreResponses) out.push_back(store_case(name, request, response));
   }
 }
 
-Understood cloud_case(const std::string& request_name, const CloudRequest& request, const Answer& answer) {
+ReceivedBody cloud_case(const std::string& request_name, const CloudRequest& request,
+                        const HttpResponse& response) {
   auto read = [request](int status, const std::string& body) {
     return describe(wire::parse_cloud_response(request, status, body));
   };
-  return {"answer of the cloud to " + request_name + ": " + answer.name, answer.status, answer.body, read};
+  return {"answer of the cloud to " + request_name + ": " + response.name, response.status, response.body,
+          read};
 }
 
-void add_cloud_answers(std::vector<Understood>& out) {
+void add_cloud_responses(std::vector<ReceivedBody>& out) {
   for (const auto& [name, request] : cloud_requests()) {
-    for (const Answer& answer : kCommonAnswers) out.push_back(cloud_case(name, request, answer));
-    for (const Answer& answer : kCloudAnswers) out.push_back(cloud_case(name, request, answer));
+    for (const HttpResponse& response : kCommonResponses) out.push_back(cloud_case(name, request, response));
+    for (const HttpResponse& response : kCloudResponses) out.push_back(cloud_case(name, request, response));
   }
 }
 
-void add_orders_answers(std::vector<Understood>& out) {
-  const std::string account = wire::body_of(reports().back().second);
+void add_command_responses(std::vector<ReceivedBody>& out) {
+  const std::string heartbeat = wire::body_of(heartbeats().back().second);
   for (const int status : {200, 400, 404, 409, 429, 500, 503})
-    for (const auto& [name, body] : Named<std::string>{{"a report", account}, {"no report", "{}"}})
+    for (const auto& [name, body] : Named<std::string>{{"a report", heartbeat}, {"no report", "{}"}})
       out.push_back({"answer of a worker: " + std::to_string(status) + " with " + name, status, body,
-                     read_orders_answer});
+                     read_command_response});
 }
 
 }  // namespace
 
-std::vector<Written> written_bodies() {
-  std::vector<Written> out;
+std::vector<SentMessage> sent_bodies() {
+  std::vector<SentMessage> out;
   for (const auto& [name, spec] : job_specs()) out.push_back({"submission " + name, wire::body_of(spec)});
-  for (const auto& [name, r] : reports()) out.push_back({"report " + name, wire::body_of(r)});
+  for (const auto& [name, r] : heartbeats()) out.push_back({"report " + name, wire::body_of(r)});
   for (const auto& kind : {replies_to_users(), replies_to_workers(), requests()})
     out.insert(out.end(), kind.begin(), kind.end());
   return out;
 }
 
-std::vector<Written> administration_bodies() {
+std::vector<SentMessage> admin_bodies() {
   sim::HeldShard held;
   held.add_job();
   held.shard.quota.load({{"t", {8000, 0}}}, 1);
@@ -377,13 +388,13 @@
           {"negotiations", overview::negotiations(net).dump()}};
 }
 
-std::vector<Understood> understood_bodies() {
-  std::vector<Understood> out;
-  add_jobs(out);
-  add_reports(out);
-  add_state_answers(out);
-  add_cloud_answers(out);
-  add_orders_answers(out);
+std::vector<ReceivedBody> received_bodies() {
+  std::vector<ReceivedBody> out;
+  add_submissions(out);
+  add_heartbeats(out);
+  add_store_responses(out);
+  add_cloud_responses(out);
+  add_command_responses(out);
   return out;
 }
 
