--- a/tests/decision_digest_main.cpp
+++ b/tests/decision_digest_main.cpp
@@ -1,7 +1,8 @@
-// Runs many scenarios of the simulated cluster and prints, for each, a digest of every decision of every
-// controller. Two versions of the sources that print the same lines decide the same.
+// Runs many scenarios of the simulated cluster and prints, for each scenario, a digest of all actions of all
+// controllers. If two versions of the sources print the same lines, their controllers make the same
+// decisions.
 //
-//   bendtide_decision_digest [SEEDS]     seeds of each family of scenarios; default 40
+//   bendtide_decision_digest [SEEDS]     number of seeds for each family of scenarios; default: 40
 
 #include <atomic>
 #include <cstdio>
@@ -16,7 +17,8 @@
 namespace bendtide::sim {
 namespace {
 
-/// One kind of scenarios; each is run with many seeds. Its name is part of the recorded digests.
+/// A family of scenarios that differ only in their seeds. Its name is part of the printed lines, which are
+/// compared with recorded ones.
 struct Family {
   const char* name;
   std::function<void(FaultScenario&)> prepare;
@@ -51,22 +53,23 @@
   };
 }
 
-struct RunOfScenario {
+struct ScenarioRun {
   const Family* family;
   FaultScenario scenario;
   ActionDigest digest;
 };
 
-void perform(RunOfScenario& run) {
+void execute(ScenarioRun& run) {
   SimulatedCluster cluster(run.scenario);
   cluster.observe([&run](const std::string& host, const Action& action) { run.digest.add(host, action); });
   cluster.run();
 }
 
-void perform_all(std::vector<RunOfScenario>& runs) {
+/// Executes all runs in parallel, with one thread for each hardware thread.
+void execute_all(std::vector<ScenarioRun>& runs) {
   std::atomic<std::size_t> next = 0;
   auto work = [&runs, &next] {
-    for (std::size_t i = next++; i < runs.size(); i = next++) perform(runs[i]);
+    for (std::size_t i = next++; i < runs.size(); i = next++) execute(runs[i]);
   };
   std::vector<std::jthread> threads;
   for (unsigned i = 0; i < std::max(1u, std::thread::hardware_concurrency()); ++i) threads.emplace_back(work);
@@ -78,9 +81,9 @@
 int main(int argc, char** argv) {
   using namespace bendtide::sim;
   const std::uint64_t seeds = argc > 1 ? std::strtoull(argv[1], nullptr, 10) : 40;
-  const std::vector<Family> all = families();
-  std::vector<RunOfScenario> runs;
-  for (const Family& family : all) {
+  const std::vector<Family> all_families = families();
+  std::vector<ScenarioRun> runs;
+  for (const Family& family : all_families) {
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
       FaultScenario scenario;
       scenario.seed = seed;
@@ -89,8 +92,8 @@
       runs.push_back({&family, scenario, {}});
     }
   }
-  perform_all(runs);
-  for (const RunOfScenario& run : runs)
+  execute_all(runs);
+  for (const ScenarioRun& run : runs)
     std::printf("%s, seed %llu: %016llx after %zu actions\n", run.family->name,
                 static_cast<unsigned long long>(run.scenario.seed),
                 static_cast<unsigned long long>(run.digest.value()), run.digest.actions());
