--- a/tests/sim/simulation.cpp
+++ b/tests/sim/simulation.cpp
@@ -3,8 +3,8 @@
 namespace bendtide::sim {
 
 void Simulation::at(Micros time, Event event) {
-  ++scheduled_;
-  events_.emplace(std::pair(time, scheduled_), std::move(event));
+  ++scheduled_count_;
+  events_.emplace(std::pair(time, scheduled_count_), std::move(event));
 }
 
 void Simulation::run_until(Micros end) {
--- a/tests/sim/simulation.h
+++ b/tests/sim/simulation.h
@@ -1,4 +1,5 @@
-// The virtual clock, the events and the random numbers of a simulated cluster.
+// Discrete-event simulation: the virtual clock, the event queue and the random number generator of a
+// simulated cluster.
 #pragma once
 
 #include <cstdint>
@@ -10,7 +11,7 @@
 
 namespace bendtide::sim {
 
-/// Single-threaded and deterministic: the same seed and the same calls lead to the same run.
+/// Single-threaded and deterministic: the same seed and the same sequence of calls produce the same run.
 class Simulation {
  public:
   using Event = std::function<void()>;
@@ -19,16 +20,19 @@
 
   /// Virtual time since the start of the run.
   Micros now() const { return now_; }
-  /// Events of the same time run in the order in which they were scheduled.
+  /// Schedules an event for an absolute virtual time. Events with equal times run in the order in which they
+  /// were scheduled.
   void at(Micros time, Event event);
+  /// Schedules an event for `delay` after the current virtual time.
   void after(Micros delay, Event event) { at(now_ + delay, std::move(event)); }
-  /// Runs the events in the order of time, up to `end` and including it.
+  /// Runs the events in order of their times until none is left that is due at or before `end`.
   void run_until(Micros end);
 
-  /// Uniform in [0, 1).
+  /// Returns a random number, uniformly distributed in [0, 1).
   double chance() { return std::uniform_real_distribution<double>(0, 1)(random_); }
-  /// Uniform among 0 ... count - 1.
+  /// Returns a random integer, uniformly distributed in [0, count).
   int pick(int count) { return std::uniform_int_distribution<int>(0, count - 1)(random_); }
+  /// Returns a random element of a container that is not empty.
   template <class Container>
   auto& pick_from(Container& items) {
     return items[static_cast<std::size_t>(pick(static_cast<int>(items.size())))];
@@ -37,7 +41,8 @@
  private:
   std::mt19937_64 random_;
   Micros now_{0};
-  std::uint64_t scheduled_ = 0;
+  std::uint64_t scheduled_count_ = 0;
+  /// Keyed by the due time and the number of the event in the order of scheduling.
   std::multimap<std::pair<Micros, std::uint64_t>, Event> events_;
 };
 
