--- a/tests/sim/simulated_cluster.cpp
+++ b/tests/sim/simulated_cluster.cpp
@@ -8,11 +8,11 @@
 
 namespace {
 
-constexpr Micros kMachinesStep = millis(100);
-constexpr Micros kOddRequestsFrom = seconds(9);
-constexpr Micros kAdminRequestsEvery = seconds(17);
-constexpr Micros kNeglectCheckFrom = seconds(1);
-constexpr Quota kSmallestTask{2000, 0};
+constexpr Micros kMachineUpdateInterval = millis(100);
+constexpr Micros kUnusualRequestsStart = seconds(9);
+constexpr Micros kAdminRequestInterval = seconds(17);
+constexpr Micros kNeglectCheckStart = seconds(1);
+constexpr Quota kSmallestTaskSize{2000, 0};
 
 }  // namespace
 
@@ -26,7 +26,7 @@
       neglect_check_(environment_, machines_, users_),
       fault_injector_(environment_, machines_, network_, controllers_, users_) {
   machines_.add_initial();
-  users_.draw();
+  users_.create_users();
 }
 
 void SimulatedCluster::run() {
@@ -34,10 +34,10 @@
   const FaultScenario& scenario = environment_.scenario;
   controllers_.start_all();
   users_.start();
-  simulation.after(kMachinesStep, [this] { advance_machines(); });
-  simulation.after(kOddRequestsFrom, [this] { users_.send_odd_requests(); });
-  if (scenario.operators_poll) simulation.after(kAdminRequestsEvery, [this] { send_admin_requests(); });
-  simulation.after(kNeglectCheckFrom, [this] { neglect_check_.repeat(); });
+  simulation.after(kMachineUpdateInterval, [this] { advance_machines(); });
+  simulation.after(kUnusualRequestsStart, [this] { users_.send_unusual_requests(); });
+  if (scenario.operators_poll) simulation.after(kAdminRequestInterval, [this] { send_admin_requests(); });
+  simulation.after(kNeglectCheckStart, [this] { neglect_check_.repeat(); });
   fault_injector_.start();
   simulation.run_until(scenario.end);
   environment_.checker.finish();
@@ -49,27 +49,27 @@
   for (auto& [name, machine] : machines_.cloud().machines()) {
     if (!machine.is_up()) continue;
     machine.worker->advance(now);
-    most_failures_ = std::max(most_failures_, machine.worker->failures);
+    max_failures_on_a_machine_ = std::max(max_failures_on_a_machine_, machine.worker->failures);
     if (machine.worker->heartbeat_due(now)) heartbeats_.send(machine);
   }
   environment_.checker.check_cancelled_jobs(now);
   count_teams_at_limit();
   users_.race_job_ends();
-  environment_.simulation.after(kMachinesStep, [this] { advance_machines(); });
+  environment_.simulation.after(kMachineUpdateInterval, [this] { advance_machines(); });
 }
 
 void SimulatedCluster::count_teams_at_limit() {
   for (const Team& team : environment_.settings.teams)
-    if (!(environment_.checker.used(team.name) + kSmallestTask).fits_in(team.limit))
+    if (!(environment_.checker.used(team.name) + kSmallestTaskSize).fits_in(team.limit))
       environment_.evidence.add(Evidence::team_at_limit);
 }
 
 void SimulatedCluster::send_admin_requests() {
   using What = AdminRequest::What;
   for (auto& host : controllers_.hosts())
-    for (const What what : {What::policy, What::shards, What::machines, What::jobs, What::negotiations})
-      controllers_.deliver_admin_request(*host, {what, {}});
-  environment_.simulation.after(kAdminRequestsEvery, [this] { send_admin_requests(); });
+    for (const What page : {What::policy, What::shards, What::machines, What::jobs, What::negotiations})
+      controllers_.deliver_admin_request(*host, {page, {}});
+  environment_.simulation.after(kAdminRequestInterval, [this] { send_admin_requests(); });
 }
 
 void SimulatedCluster::print_states() const {
--- a/tests/sim/simulated_cluster.h
+++ b/tests/sim/simulated_cluster.h
@@ -1,5 +1,6 @@
-// A whole simulated cluster: the cores of three controllers, simulated services and machines, a network that
-// cuts and delays, users and faults; on a virtual clock, and the same in every run with the same scenario.
+// A complete simulated cluster: the cores of three controllers, a simulated key-value store, cloud, machines,
+// network and users, and fault injection. It runs on a virtual clock and is deterministic: the same scenario
+// always produces the same run.
 #pragma once
 
 #include <set>
@@ -21,29 +22,32 @@
  public:
   explicit SimulatedCluster(const FaultScenario& scenario);
 
-  /// The observer is called with every action of a controller, right before it is performed.
+  /// Sets an observer that is called with each action of a controller immediately before it is performed.
   void observe(SimulatedControllers::ActionObserver observer) { controllers_.observe(std::move(observer)); }
-  /// Runs the scenario from its beginning to its end; to be called once.
+  /// Runs the scenario from start to end. May be called only once.
   void run();
 
   const Checker& checker() const { return environment_.checker; }
   const SimulatedKeyValueStore& store() const { return environment_.store; }
+  /// Returns how often the given kind of evidence was recorded.
   std::size_t seen(Evidence evidence) const { return environment_.evidence.count(evidence); }
-  /// What should have been reached by the end of the run and was not.
+  /// Returns a description of each job that has not reached its expected state by the end of the run.
   std::vector<std::string> unfinished() const { return users_.unfinished(); }
-  /// How many proposals were awarded.
+  /// Returns the number of proposals that were awarded.
   std::uint64_t awards() const { return controllers_.awards(); }
-  /// How often a shard's sums differed from what they sum up.
+  /// Returns how often the incrementally updated sums of a shard differed from freshly computed ones.
   std::size_t inconsistent_sums() const { return controllers_.inconsistent_sums(); }
-  /// Jobs that have waited for free resources for a while, and for which no machine is to be provisioned yet.
+  /// Returns the ids of the jobs with tasks that have waited for free resources for a while, and for which no
+  /// machine is being provisioned yet. Leaves out refused jobs and those whose shard's quota share is
+  /// exhausted.
   std::set<std::string> unprovisioned_jobs() const;
-  /// Machines that nothing reaches, still there at the end.
+  /// Returns the number of running machines that neither commands nor heartbeat responses reach.
   std::size_t unreachable_machines() const;
-  /// The most tasks that failed on one machine.
-  std::size_t most_failures_on_a_machine() const { return most_failures_; }
+  /// Returns the highest number of tasks that failed on a single machine.
+  std::size_t most_failures_on_a_machine() const { return max_failures_on_a_machine_; }
 
  private:
-  /// Lets time pass for the machines; every 100 ms.
+  /// Advances all machines to the current virtual time, and schedules itself again.
   void advance_machines();
   void count_teams_at_limit();
   void send_admin_requests();
@@ -57,7 +61,7 @@
   SimulatedUsers users_;
   NeglectCheck neglect_check_;
   FaultInjector fault_injector_;
-  std::size_t most_failures_ = 0;
+  std::size_t max_failures_on_a_machine_ = 0;
 };
 
 }  // namespace bendtide::sim
--- a/tests/sim/simulated_users.cpp
+++ b/tests/sim/simulated_users.cpp
@@ -4,14 +4,14 @@
 
 namespace {
 
-constexpr Micros kRetryAfter = seconds(1);
-constexpr Micros kResubmitFor = seconds(60);
-constexpr Micros kPollEvery = seconds(5);
-constexpr Micros kOddRequestsEvery = seconds(11);
+constexpr Micros kRetryDelay = seconds(1);
+constexpr Micros kMaxResubmissionTime = seconds(60);
+constexpr Micros kPollInterval = seconds(5);
+constexpr Micros kUnusualRequestInterval = seconds(11);
 // Upper bounds of random delays, in milliseconds.
-constexpr int kActAtAcceptanceMillis = 300;
-constexpr int kCancelTogetherMillis = 200;
-constexpr int kRaceEndMillis = 700;
+constexpr int kMaxAcceptanceActionDelayMillis = 300;
+constexpr int kMaxJointCancellationDelayMillis = 200;
+constexpr int kMaxRaceActionDelayMillis = 700;
 const std::string kUnknownJob = "run-7";
 const std::string kInvalidJob = "run-8";
 
@@ -25,9 +25,9 @@
     });
 }
 
-/// Open connections stay where they are; a new one goes to a healthy controller.
 ControllerHost& SimulatedUsers::choose_host() {
   ControllerHost& host = controllers_.random_host();
+  // Existing connections stay open to a controller that is up but not healthy; new ones go to a healthy one.
   const bool connected = environment_.scenario.impatient_users && host.is_up();
   if (connected || (host.is_up() && host.core->healthy())) return host;
   ControllerHost* chosen = &host;
@@ -41,99 +41,96 @@
   controllers_.send_user_request(choose_host(), request, reaction);
 }
 
-// ---- submissions ---------------------------------------------------------------------------------
+// ---- submissions --------------------------------------------------------------------------------
 
 void SimulatedUsers::submit(User& user, Micros since) {
   Simulation& simulation = environment_.simulation;
-  const Micros asked_at = simulation.now();
+  const Micros sent_at = simulation.now();
   send([job = user.job](Controller& core, std::uint64_t request) { core.on_submit(request, job); },
-       [this, &user, &simulation, since, asked_at](const UserReply* reply) {
+       [this, &user, &simulation, since, sent_at](const UserReply* reply) {
          if (reply != nullptr && (reply->status == 200 || reply->status == 201))
-           on_accepted(user, *reply, asked_at);
-         else if (simulation.now() - since < kResubmitFor)
-           simulation.after(kRetryAfter, [this, &user, since] { submit(user, since); });
+           on_accepted(user, *reply, sent_at);
+         else if (simulation.now() - since < kMaxResubmissionTime)
+           simulation.after(kRetryDelay, [this, &user, since] { submit(user, since); });
        });
 }
 
-void SimulatedUsers::on_accepted(User& user, const UserReply& reply, Micros asked_at) {
+void SimulatedUsers::on_accepted(User& user, const UserReply& reply, Micros sent_at) {
   Simulation& simulation = environment_.simulation;
   const Micros now = simulation.now();
   environment_.checker.accepted(user.job.id, now);
-  environment_.checker.answered(user.job.id, reply.status, reply.phase, asked_at, now);
+  environment_.checker.answered(user.job.id, reply.status, reply.phase, sent_at, now);
   user.accepted = true;
   simulation.after(seconds(4 + simulation.chance()), [this, &user] { poll(user); });
-  if (environment_.scenario.impatient_users) act_at_acceptance(user);
+  if (environment_.scenario.impatient_users) act_on_acceptance(user);
   if (user.cancel_at) simulation.at(std::max(now, *user.cancel_at), [this, &user] { cancel(user); });
 }
 
-/// Polls everywhere, submits once more, and perhaps cancels, after which all controllers are polled again.
-void SimulatedUsers::act_at_acceptance(User& user) {
-  if (std::exchange(user.acted_at_acceptance, true)) return;
+void SimulatedUsers::act_on_acceptance(User& user) {
+  if (std::exchange(user.acted_on_acceptance, true)) return;
   Simulation& simulation = environment_.simulation;
   environment_.evidence.add(Evidence::job_polled_at_acceptance);
   poll_everywhere(user);
-  simulation.after(millis(simulation.pick(kActAtAcceptanceMillis)),
+  simulation.after(millis(simulation.pick(kMaxAcceptanceActionDelayMillis)),
                    [this, &user] { submit(user, environment_.simulation.now()); });
   if (simulation.chance() < 0.5) return;
   environment_.evidence.add(Evidence::job_cancelled_at_acceptance);
-  simulation.after(millis(simulation.pick(kActAtAcceptanceMillis)), [this, &user] { cancel(user); });
+  simulation.after(millis(simulation.pick(kMaxAcceptanceActionDelayMillis)), [this, &user] { cancel(user); });
 }
 
-// ---- polls ---------------------------------------------------------------------------------------
+// ---- polls --------------------------------------------------------------------------------------
 
 void SimulatedUsers::poll_everywhere(User& user) {
   for (auto& host : controllers_.hosts()) {
-    const Micros asked_at = environment_.simulation.now();
+    const Micros sent_at = environment_.simulation.now();
     controllers_.send_user_request(
         *host, [id = user.job.id](Controller& core, std::uint64_t request) { core.on_poll(request, id); },
-        [this, &user, asked_at](const UserReply* reply) {
+        [this, &user, sent_at](const UserReply* reply) {
           if (reply != nullptr && reply->status != 503)
-            environment_.checker.answered(user.job.id, reply->status, reply->phase, asked_at,
+            environment_.checker.answered(user.job.id, reply->status, reply->phase, sent_at,
                                           environment_.simulation.now());
         });
   }
 }
 
 void SimulatedUsers::poll(User& user) {
-  const Micros asked_at = environment_.simulation.now();
+  const Micros sent_at = environment_.simulation.now();
   send([id = user.job.id](Controller& core, std::uint64_t request) { core.on_poll(request, id); },
-       [this, &user, asked_at](const UserReply* reply) {
+       [this, &user, sent_at](const UserReply* reply) {
          Simulation& simulation = environment_.simulation;
          const bool ignored =
              environment_.defects.ignores_polls_for_one_job() && &user == users_.front().get();
          if (reply == nullptr || reply->status == 503 || ignored)
            environment_.checker.unanswered(user.job.id, simulation.now());
          else
-           on_poll_answered(user, *reply, asked_at);
-         const Micros pause = user.answered_final ? seconds(25 + simulation.chance() * 30) : kPollEvery;
+           on_poll_answered(user, *reply, sent_at);
+         const Micros pause = user.answered_final ? seconds(25 + simulation.chance() * 30) : kPollInterval;
          simulation.after(pause, [this, &user] { poll(user); });
        });
 }
 
-void SimulatedUsers::on_poll_answered(User& user, const UserReply& reply, Micros asked_at) {
+void SimulatedUsers::on_poll_answered(User& user, const UserReply& reply, Micros sent_at) {
   const UserReply seen = environment_.defects.poll_reply(reply, user.last_phase);
-  environment_.checker.answered(user.job.id, seen.status, seen.phase, asked_at,
-                                environment_.simulation.now());
+  environment_.checker.answered(user.job.id, seen.status, seen.phase, sent_at, environment_.simulation.now());
   user.last_phase = seen.phase;
   user.answered_final |= is_final(seen.phase);
 }
 
-// ---- cancellations -------------------------------------------------------------------------------
+// ---- cancellations ------------------------------------------------------------------------------
 
 void SimulatedUsers::cancel(User& user) {
   user.cancelling = true;
   environment_.checker.cancel_requested(user.job.id);
-  const Micros asked_at = environment_.simulation.now();
+  const Micros sent_at = environment_.simulation.now();
   send([id = user.job.id](Controller& core, std::uint64_t request) { core.on_cancel(request, id); },
-       [this, &user, asked_at](const UserReply* reply) {
+       [this, &user, sent_at](const UserReply* reply) {
          Simulation& simulation = environment_.simulation;
          if (reply != nullptr)
-           environment_.checker.answered(user.job.id, reply->status, reply->phase, asked_at,
-                                         simulation.now());
+           environment_.checker.answered(user.job.id, reply->status, reply->phase, sent_at, simulation.now());
          if (reply != nullptr && reply->status == 200)
            on_cancelled(user, *reply);
          else
-           simulation.after(kRetryAfter, [this, &user] { cancel(user); });
+           simulation.after(kRetryDelay, [this, &user] { cancel(user); });
        });
 }
 
@@ -155,7 +152,7 @@
     if (!chosen) continue;
     --count;
     environment_.evidence.add(Evidence::cancelled_together);
-    simulation.after(millis(simulation.pick(kCancelTogetherMillis)),
+    simulation.after(millis(simulation.pick(kMaxJointCancellationDelayMillis)),
                      [this, user = user.get()] { cancel(*user); });
   }
 }
@@ -164,26 +161,26 @@
   Simulation& simulation = environment_.simulation;
   if (simulation.now() >= environment_.faults.job_ends_raced_until) return;
   for (auto& user : users_) {
-    const bool chosen = user->accepted && !user->raced_end && !user->answered_final &&
+    const bool chosen = user->accepted && !user->acted_on_job_end && !user->answered_final &&
                         environment_.checker.completed_tasks(user->job.id) >= user->job.tasks;
     if (!chosen) continue;
-    user->raced_end = true;
+    user->acted_on_job_end = true;
     environment_.evidence.add(Evidence::job_end_raced);
-    simulation.after(millis(simulation.pick(kRaceEndMillis)), [this, user = user.get()] {
+    simulation.after(millis(simulation.pick(kMaxRaceActionDelayMillis)), [this, user = user.get()] {
       if (!user->cancelling && environment_.simulation.chance() < 0.5) cancel(*user);
     });
-    simulation.after(millis(simulation.pick(kRaceEndMillis)),
+    simulation.after(millis(simulation.pick(kMaxRaceActionDelayMillis)),
                      [this, user = user.get()] { submit(*user, environment_.simulation.now()); });
   }
 }
 
-// ---- odd requests --------------------------------------------------------------------------------
+// ---- unusual requests ---------------------------------------------------------------------------
 
-void SimulatedUsers::send_odd_requests() {
+void SimulatedUsers::send_unusual_requests() {
   poll_unknown_job();
-  environment_.simulation.after(kOddRequestsEvery, [this] { send_odd_requests(); });
+  environment_.simulation.after(kUnusualRequestInterval, [this] { send_unusual_requests(); });
   if (!environment_.scenario.invalid_requests) return;
-  repeat_malformed();
+  resubmit_malformed();
   submit_invalid();
 }
 
@@ -196,16 +193,15 @@
        });
 }
 
-/// A repeated submission is recognised by its id alone, whatever else it contains.
-void SimulatedUsers::repeat_malformed() {
+void SimulatedUsers::resubmit_malformed() {
   User& user = *environment_.simulation.pick_from(users_);
   if (!user.accepted) return;
-  const Micros asked_at = environment_.simulation.now();
+  const Micros sent_at = environment_.simulation.now();
   send([id = user.job.id](Controller& core,
                           std::uint64_t request) { core.on_malformed(request, id, "crew: missing"); },
-       [this, &user, asked_at](const UserReply* reply) {
+       [this, &user, sent_at](const UserReply* reply) {
          if (reply != nullptr)
-           environment_.checker.answered(user.job.id, reply->status, reply->phase, asked_at,
+           environment_.checker.answered(user.job.id, reply->status, reply->phase, sent_at,
                                          environment_.simulation.now());
        });
 }
@@ -227,19 +223,20 @@
        });
 }
 
-// ---- the end -------------------------------------------------------------------------------------
+// ---- end of the run ------------------------------------------------------------------------------
 
 std::vector<std::string> SimulatedUsers::unfinished() const {
   std::vector<std::string> unfinished;
   for (const auto& user : users_) {
     const std::string& id = user->job.id;
-    const bool kept_service = user->job.shape == Shape::service && !user->cancel_at && !user->cancelling;
+    const bool service_should_run =
+        user->job.shape == Shape::service && !user->cancel_at && !user->cancelling;
     if (!user->accepted)
       unfinished.push_back(id + " was not accepted");
-    else if (kept_service && !environment_.checker.is_running(id))
-      unfinished.push_back(id + " does not run");
-    else if (!kept_service && !user->answered_final)
-      unfinished.push_back(id + " is not over");
+    else if (service_should_run && !environment_.checker.is_running(id))
+      unfinished.push_back(id + " is not running");
+    else if (!service_should_run && !user->answered_final)
+      unfinished.push_back(id + " has not finished");
   }
   return unfinished;
 }
--- a/tests/sim/simulated_users.h
+++ b/tests/sim/simulated_users.h
@@ -1,5 +1,5 @@
-// The users of a simulated cluster: they submit jobs, poll, submit again and cancel, and tell the checker
-// what they are answered.
+// The users of a simulated cluster. They submit jobs, poll them, resubmit them and cancel them, and pass the
+// replies that they receive to the checker.
 #pragma once
 
 #include <memory>
@@ -12,17 +12,17 @@
 
 namespace bendtide::sim {
 
-/// One user and the job that they submit.
+/// A user and the single job that the user submits.
 struct User {
   JobSpec job;
   Micros submit_at{0};
-  std::optional<Micros> cancel_at;
-  bool accepted = false;
-  bool cancelling = false;
-  bool answered_final = false;  ///< that the job is done or cancelled
-  bool raced_end = false;       ///< acted while the last task ended
-  bool acted_at_acceptance = false;
-  std::optional<JobPhase> last_phase;  ///< that they were answered
+  std::optional<Micros> cancel_at;     ///< not set: no cancellation is planned
+  bool accepted = false;               ///< a submission was confirmed
+  bool cancelling = false;             ///< a cancellation was requested
+  bool answered_final = false;         ///< a reply said that the job is done or cancelled
+  bool acted_on_job_end = false;       ///< the user has acted when the last task ended
+  bool acted_on_acceptance = false;    ///< the user has acted on the acceptance of the job
+  std::optional<JobPhase> last_phase;  ///< the phase in the latest reply to a poll or a cancellation
 };
 
 class SimulatedUsers {
@@ -30,40 +30,58 @@
   SimulatedUsers(Environment& environment, SimulatedNetwork& network, SimulatedControllers& controllers)
       : environment_(environment), network_(network), controllers_(controllers) {}
 
-  /// Draws the users' jobs.
-  void draw();
-  /// Schedules all submissions.
+  /// Creates the users with random jobs.
+  void create_users();
+  /// Schedules the submissions of all users.
   void start();
-  /// From time to time: polls for a job that never was, and requests that are invalid.
-  void send_odd_requests();
-  /// Users of up to `count` running jobs cancel them within a fifth of a second.
+  /// Sends a poll for a job that does not exist and, if the scenario has them, invalid requests. Schedules
+  /// itself again.
+  void send_unusual_requests();
+  /// Makes the users of up to `count` running jobs cancel them within 200 ms.
   void cancel_running(int count);
-  /// While job ends are to be raced: as the last task of a job ends, its user cancels it or not, polls, and
-  /// submits it again.
+  /// While FaultKind::race_job_ends is in effect: when all tasks of a job have completed, its user resubmits
+  /// the job and, with a probability of one half, cancels it unless it is being cancelled already. Both
+  /// requests are sent within 700 ms.
   void race_job_ends();
 
   const std::vector<std::unique_ptr<User>>& all() const { return users_; }
-  /// What should have been reached by the end of the run and was not.
+  /// Returns a description of each job that has not reached its expected state by the end of the run:
+  /// accepted, running if it is a service that nobody cancelled, and finished otherwise.
   std::vector<std::string> unfinished() const;
 
  private:
-  JobSpec draw_job(int number);
-  JobSpec with_array_drawn(JobSpec job);
-  JobSpec with_zone_rule_drawn(JobSpec job);
+  /// Returns a random job; `number` makes its id unique.
+  JobSpec random_job(int number);
+  /// Returns the job with random properties of an array: tasks, estimate, checkpoints and constraints.
+  JobSpec with_random_array_properties(JobSpec job);
+  /// Returns the job with a random zone constraint, or with none.
+  JobSpec with_random_zone_constraint(JobSpec job);
 
+  /// Submits the job and retries until it is accepted, or until 60 s have passed since `since`.
   void submit(User& user, Micros since);
-  void on_accepted(User& user, const UserReply& reply, Micros asked_at);
-  void act_at_acceptance(User& user);
+  void on_accepted(User& user, const UserReply& reply, Micros sent_at);
+  /// Makes an impatient user poll all controllers, resubmit the job and, with a probability of one half,
+  /// cancel it. A successful cancellation makes the user poll all controllers again.
+  void act_on_acceptance(User& user);
+  /// Polls the job, and schedules the next poll.
   void poll(User& user);
-  void on_poll_answered(User& user, const UserReply& reply, Micros asked_at);
+  void on_poll_answered(User& user, const UserReply& reply, Micros sent_at);
+  /// Polls the job at all controllers at the same time.
   void poll_everywhere(User& user);
+  /// Requests the cancellation of the job, and retries until it succeeds.
   void cancel(User& user);
   void on_cancelled(User& user, const UserReply& reply);
   void poll_unknown_job();
-  void repeat_malformed();
+  /// Resubmits an accepted job with an invalid body. The controllers must recognise a repeated submission by
+  /// its job id alone, whatever else it contains.
+  void resubmit_malformed();
+  /// Submits a job of an unknown team or for an unknown machine type.
   void submit_invalid();
 
+  /// Returns the controller for the next request: a random one or, unless the user is impatient, a healthy
+  /// one if there is any. Impatient users stay connected to a controller that is up but not healthy.
   ControllerHost& choose_host();
+  /// Sends a request to the controller that choose_host() returns.
   void send(const SimulatedControllers::UserRequest& request,
             const SimulatedControllers::UserReaction& reaction);
 
