--- a/tests/sim/simulated_controllers.cpp
+++ b/tests/sim/simulated_controllers.cpp
@@ -8,12 +8,12 @@
 
 namespace {
 
-constexpr Micros kTickEvery = millis(50);
-constexpr Micros kStartWithin = millis(1000);
-constexpr Micros kUserPatience = seconds(2);
+constexpr Micros kTickInterval = millis(50);
+constexpr Micros kMaxStartDelay = millis(1000);
+constexpr Micros kUserTimeout = seconds(2);
 constexpr Micros kWallClockOffset = seconds(1'000'000);
-constexpr double kDriftSpread = 0.001;
-constexpr double kOffsetSpreadSeconds = 1000;
+constexpr double kClockDriftRange = 0.001;
+constexpr double kClockOffsetRangeSeconds = 1000;
 
 }  // namespace
 
@@ -24,19 +24,19 @@
   for (int i = 0; i < kCount; ++i) {
     auto host = std::make_unique<ControllerHost>();
     host->name = "node-" + std::to_string(i);
-    host->clock_drift = (simulation.chance() - 0.5) * kDriftSpread;
-    host->clock_offset = seconds(simulation.chance() * kOffsetSpreadSeconds);
+    host->clock_drift = (simulation.chance() - 0.5) * kClockDriftRange;
+    host->clock_offset = seconds(simulation.chance() * kClockOffsetRangeSeconds);
     if (environment_.scenario.extended && i == 2) host->zone = "west";
     hosts_.push_back(std::move(host));
   }
 }
 
-// ---- processes -----------------------------------------------------------------------------------
+// ---- processes ----------------------------------------------------------------------------------
 
 void SimulatedControllers::start_all() {
   Simulation& simulation = environment_.simulation;
   for (auto& host : hosts_) {
-    const Micros delay = millis(simulation.pick(static_cast<int>(kStartWithin / millis(1))));
+    const Micros delay = millis(simulation.pick(static_cast<int>(kMaxStartDelay / millis(1))));
     simulation.after(delay, [this, host = host.get()] { start(*host); });
   }
 }
@@ -47,7 +47,7 @@
   settings.zone = host.zone;
   for (const auto& other : hosts_)
     if (other->name != host.name) settings.peers.push_back({other->name, other->zone, other->name});
-  host.incarnation = ++started_;
+  host.incarnation = ++started_processes_;
   host.core = std::make_unique<Controller>(environment_.defects.controller_settings(settings),
                                            "life-" + std::to_string(host.incarnation), host.incarnation);
   host.core->write_debug_lines(environment_.scenario.verbose);
@@ -56,7 +56,7 @@
 
 void SimulatedControllers::crash(ControllerHost& host, Micros restart_after) {
   if (!host.is_up()) return;
-  awards_of_ended_ += host.core->contract_net().counters().awards;
+  awards_by_ended_processes_ += host.core->contract_net().counters().awards;
   host.core.reset();
   host.paused_until = Micros{0};
   host.pauses_for = Micros{0};
@@ -71,7 +71,7 @@
   if (host.is_up() && host.incarnation == incarnation)
     for (const auto& [name, shard] : host.core->state().shards)
       if (!shard.sums_are_consistent()) ++inconsistent_sums_;
-  environment_.simulation.after(kTickEvery, [this, &host, incarnation] { tick(host, incarnation); });
+  environment_.simulation.after(kTickInterval, [this, &host, incarnation] { tick(host, incarnation); });
 }
 
 void SimulatedControllers::deliver(ControllerHost& host, std::uint64_t incarnation, const Event& event) {
@@ -91,7 +91,7 @@
   if (!host.is_up() || host.incarnation != incarnation) return;
   for (const Action& action : host.core->take_actions(steady_time(host))) {
     if (observer_) observer_(host.name, action);
-    std::visit([&](const auto& of_its_type) { perform(host, of_its_type); }, action);
+    std::visit([&](const auto& typed_action) { perform(host, typed_action); }, action);
   }
 }
 
@@ -100,18 +100,18 @@
   return Micros{static_cast<std::int64_t>(now * (1.0 + host.clock_drift))} + host.clock_offset;
 }
 
-// ---- requests from outside -----------------------------------------------------------------------
+// ---- requests from users, workers and operators -------------------------------------------------
 
 void SimulatedControllers::send_user_request(ControllerHost& host, const UserRequest& request,
                                              const UserReaction& reaction) {
   if (!host.is_up()) return reaction(nullptr);
-  auto open = std::make_shared<bool>(true);
-  auto conclude = [open, reaction](const UserReply* reply) {
-    if (std::exchange(*open, false)) reaction(reply);
+  auto pending = std::make_shared<bool>(true);
+  auto complete = [pending, reaction](const UserReply* reply) {
+    if (std::exchange(*pending, false)) reaction(reply);
   };
   const std::uint64_t number = host.next_request++;
-  host.user_requests[number] = [conclude](const UserReply& reply) { conclude(&reply); };
-  environment_.simulation.after(kUserPatience, [conclude] { conclude(nullptr); });
+  host.user_requests[number] = [complete](const UserReply& reply) { complete(&reply); };
+  environment_.simulation.after(kUserTimeout, [complete] { complete(nullptr); });
   deliver(host, host.incarnation, [request, number](Controller& core) { request(core, number); });
 }
 
@@ -129,7 +129,7 @@
   deliver(host, host.incarnation, [number, request](Controller& core) { core.on_admin(number, request); });
 }
 
-// ---- queries -------------------------------------------------------------------------------------
+// ---- queries ------------------------------------------------------------------------------------
 
 ControllerHost* SimulatedControllers::find(const std::string& host) {
   for (auto& candidate : hosts_)
@@ -150,7 +150,7 @@
 }
 
 std::uint64_t SimulatedControllers::awards() const {
-  std::uint64_t awards = awards_of_ended_;
+  std::uint64_t awards = awards_by_ended_processes_;
   for (const auto& host : hosts_)
     if (host->is_up()) awards += host->core->contract_net().counters().awards;
   return awards;
@@ -162,7 +162,7 @@
     if (command.kind != Command::Kind::start) continue;
     const bool after_cancel = environment_.checker.start_commanded(command.task, now);
     if (after_cancel && environment_.scenario.verbose)
-      std::printf("%9.3f ---- %s/%u is started although its job is cancelled\n", in_seconds(now),
+      std::printf("%9.3f ---- start command for task %s/%u of a cancelled job\n", in_seconds(now),
                   command.task.job.c_str(), command.task.index);
   }
 }
--- a/tests/sim/simulated_controllers.h
+++ b/tests/sim/simulated_controllers.h
@@ -1,5 +1,5 @@
-// The controllers of a simulated cluster: their processes start, crash and pause, events are delivered to
-// their cores, and the actions that these lead to are performed over the simulated network.
+// The controllers of a simulated cluster. Starts, crashes and pauses their processes, delivers events to
+// their cores, and performs the resulting actions over the simulated network.
 #pragma once
 
 #include <memory>
@@ -13,20 +13,21 @@
 
 namespace bendtide::sim {
 
-/// One host that runs a controller, or will again once its process is restarted.
+/// A host that runs a controller process. The process may be down until it is restarted.
 struct ControllerHost {
   std::string name;
   std::string zone = "east";
-  // Its steady clock: how much faster it runs than the virtual clock, and its value at the start.
-  double clock_drift = 0;
-  Micros clock_offset{0};
+  double clock_drift = 0;  ///< of the steady clock, as a fraction of the virtual time; positive: runs fast
+  Micros clock_offset{0};  ///< value of the steady clock at virtual time zero
 
   std::unique_ptr<Controller> core;  ///< null while the process is down
-  std::uint64_t incarnation = 0;     ///< number of the process, unique among all hosts
-  Micros paused_until{0};
-  Micros pauses_for{0};  ///< in the middle of the next event; zero: does not
+  std::uint64_t incarnation = 0;     ///< number of the latest process, unique across all hosts
+  Micros paused_until{0};            ///< no event is delivered and no action performed before this time
+  /// The process pauses for this long between handling the next event and performing its actions. Zero: it
+  /// does not pause.
+  Micros pauses_for{0};
   std::uint64_t next_request = 1;
-  // Requests that the present process has not answered yet.
+  // Requests that the current process has not answered yet, by request number.
   std::map<std::uint64_t, std::function<void(const UserReply&)>> user_requests;
   std::map<std::uint64_t, std::function<void(const HeartbeatReply&)>> heartbeats;
 
@@ -36,45 +37,48 @@
 class SimulatedControllers {
  public:
   static constexpr int kCount = 3;
-  /// Called with every action of a controller, right before it is performed.
+  /// Called with each action of a controller immediately before it is performed.
   using ActionObserver = std::function<void(const std::string& host, const Action& action)>;
+  /// Delivers one event to the core of a controller.
   using Event = std::function<void(Controller&)>;
-  /// A request of a user: which event to deliver, given the number of the request.
+  /// Delivers a user's request, which has the given request number, to the core of a controller.
   using UserRequest = std::function<void(Controller&, std::uint64_t request)>;
-  /// Called once: with the reply, or with null if there is none within two seconds.
+  /// Called exactly once: with the reply, or with null if the process is down or does not reply within two
+  /// seconds.
   using UserReaction = std::function<void(const UserReply*)>;
   using HeartbeatReaction = std::function<void(const HeartbeatReply&)>;
 
   SimulatedControllers(Environment& environment, SimulatedMachines& machines, SimulatedNetwork& network);
 
   void observe(ActionObserver observer) { observer_ = std::move(observer); }
-  /// Schedules the first start of every controller.
+  /// Schedules the first start of each controller at a random time within the first second.
   void start_all();
-  /// Ends the process, which is started again after `restart_after`.
+  /// Crashes the process and restarts it after `restart_after`. Does nothing if the process is down.
   void crash(ControllerHost& host, Micros restart_after);
 
   std::vector<std::unique_ptr<ControllerHost>>& hosts() { return hosts_; }
   const std::vector<std::unique_ptr<ControllerHost>>& hosts() const { return hosts_; }
   ControllerHost& random_host() { return *environment_.simulation.pick_from(hosts_); }
-  /// Null if there is no host of that name.
+  /// Returns null if there is no host with that name.
   ControllerHost* find(const std::string& host);
-  /// The one that leads shards with most machines.
+  /// Returns the host whose controller leads the most machines.
   ControllerHost& busiest();
 
+  /// Sends a user's request to a controller; `reaction` receives the reply or null.
   void send_user_request(ControllerHost& host, const UserRequest& request, const UserReaction& reaction);
-  /// Delivers a heartbeat to a controller; without a reaction its answer is dropped.
+  /// Delivers a heartbeat to a controller. Its reply is dropped if `reaction` is empty.
   void deliver_heartbeat(ControllerHost& host, const std::string& body, HeartbeatReaction reaction);
   void deliver_admin_request(ControllerHost& host, const AdminRequest& request);
 
-  /// Counts commanded starts of cancelled jobs.
+  /// Reports the start commands among `commands` to the checker, which detects starts of cancelled jobs.
   void record_starts(const std::vector<Command>& commands);
-  /// How many proposals were awarded.
+  /// Returns the number of proposals that were awarded.
   std::uint64_t awards() const;
-  /// How often a shard's sums differed from what they sum up.
+  /// Returns how often the incrementally updated sums of a shard differed from freshly computed ones.
   std::size_t inconsistent_sums() const { return inconsistent_sums_; }
 
  private:
-  /// A request of a controller to another host, which is answered or times out.
+  /// A request from a controller to another host. It completes once, with the response or at the timeout.
   template <class Response>
   struct Call {
     ControllerHost* host;
@@ -82,17 +86,20 @@
     std::string to;
     Micros timeout;
     std::function<Response()> serve;
-    std::function<void(Controller&, const Response&)> conclude;
-    bool concluded = false;
+    std::function<void(Controller&, const Response&)> complete;
+    bool completed = false;
   };
   template <class Response>
   using SharedCall = std::shared_ptr<Call<Response>>;
 
   void start(ControllerHost& host);
   void tick(ControllerHost& host, std::uint64_t incarnation);
-  /// Delivers an event to the process with that incarnation, once it is not paused.
+  /// Delivers an event to the process with that incarnation, after a pause if the process is paused. Drops
+  /// the event if that process has ended.
   void deliver(ControllerHost& host, std::uint64_t incarnation, const Event& event);
+  /// Performs the actions that the core has produced.
   void perform_actions(ControllerHost& host, std::uint64_t incarnation);
+  /// Returns the current value of the host's steady clock.
   Micros steady_time(const ControllerHost& host) const;
 
   void perform(ControllerHost& host, const StoreCall& action);
@@ -104,24 +111,28 @@
   void perform(ControllerHost& host, const AnswerAdmin& action);
   void perform(ControllerHost& host, const LogLine& action);
 
-  void execute_late(ControllerHost& host, const StoreCall& action);
+  /// Times the call out for the controller, and executes the transaction later, after newer ones.
+  void execute_transaction_late(ControllerHost& host, const StoreCall& action);
   StoreResponse serve_store(const std::string& host, const StoreRequest& request);
   CommandResponse serve_commands(const std::string& machine, const std::string& body);
 
+  /// Sends a request and schedules its timeout.
   template <class Response>
   void call(Call<Response> call);
+  /// Serves a request that has arrived, and sends the response back.
   template <class Response>
   void serve(const SharedCall<Response>& call);
+  /// Delivers the response to the controller, unless the call has completed already.
   template <class Response>
-  void conclude(const SharedCall<Response>& call, const Response& response);
+  void complete(const SharedCall<Response>& call, const Response& response);
 
   Environment& environment_;
   SimulatedMachines& machines_;
   SimulatedNetwork& network_;
   ActionObserver observer_;
   std::vector<std::unique_ptr<ControllerHost>> hosts_;
-  std::uint64_t started_ = 0;
-  std::uint64_t awards_of_ended_ = 0;  ///< by processes that have ended
+  std::uint64_t started_processes_ = 0;          ///< number of processes started so far
+  std::uint64_t awards_by_ended_processes_ = 0;  ///< awards made by processes that have ended
   std::size_t inconsistent_sums_ = 0;
 };
 
--- a/tests/sim/simulated_controllers_actions.cpp
+++ b/tests/sim/simulated_controllers_actions.cpp
@@ -1,4 +1,4 @@
-// How the actions of controllers are performed.
+// Performs the actions that the controllers' cores produce.
 
 #include <cstdio>
 
@@ -12,16 +12,17 @@
 
 namespace {
 
-constexpr Micros kStorePatience = seconds(1);
-constexpr Micros kCloudPatience = seconds(5);
-constexpr Micros kWorkerPatience = millis(1500);
-constexpr double kShareOfLateTransactions = 0.3;
-constexpr double kShareOfLateStoreResponses = 0.3;
-constexpr double kStoreServiceMicros = 5000;  ///< at FaultKind::store_slow, times the slowness
+constexpr Micros kStoreTimeout = seconds(1);
+constexpr Micros kCloudTimeout = seconds(5);
+constexpr Micros kWorkerTimeout = millis(1500);
+constexpr double kLateTransactionProbability = 0.3;
+constexpr double kLateStoreResponseProbability = 0.3;
+/// Time to serve one request while FaultKind::store_slow is in effect, multiplied by the slowness factor.
+constexpr double kStoreServiceTimeMicros = 5000;
 
 }  // namespace
 
-// ---- calls with an answer or a time-out ----------------------------------------------------------
+// ---- calls with a response or a timeout ---------------------------------------------------------
 
 template <class Response>
 void SimulatedControllers::call(Call<Response> call) {
@@ -29,10 +30,10 @@
   network_.send_to_host(shared->host->name, shared->to, [this, shared] {
     const double slowness = environment_.faults.store_slowness;
     if (shared->to != kStoreAddress || slowness <= 1) return serve(shared);
-    const Micros service_time{static_cast<std::int64_t>(kStoreServiceMicros * slowness)};
+    const Micros service_time{static_cast<std::int64_t>(kStoreServiceTimeMicros * slowness)};
     environment_.simulation.after(service_time, [this, shared] { serve(shared); });
   });
-  environment_.simulation.after(shared->timeout, [this, shared] { conclude(shared, Response{}); });
+  environment_.simulation.after(shared->timeout, [this, shared] { complete(shared, Response{}); });
 }
 
 template <class Response>
@@ -40,47 +41,46 @@
   Simulation& simulation = environment_.simulation;
   const Response response = call->serve();
   auto respond = [this, call, response] {
-    network_.send(call->to, call->host->name, [this, call, response] { conclude(call, response); });
+    network_.send(call->to, call->host->name, [this, call, response] { complete(call, response); });
   };
   const bool late = call->to == kStoreAddress &&
                     simulation.now() < environment_.faults.store_responses_late_until &&
-                    simulation.chance() <= kShareOfLateStoreResponses;
+                    simulation.chance() <= kLateStoreResponseProbability;
   if (!late) return respond();
   environment_.evidence.add(Evidence::store_response_delayed);
   simulation.after(millis(30 + simulation.pick(900)), respond);
 }
 
 template <class Response>
-void SimulatedControllers::conclude(const SharedCall<Response>& call, const Response& response) {
-  if (std::exchange(call->concluded, true)) return;
+void SimulatedControllers::complete(const SharedCall<Response>& call, const Response& response) {
+  if (std::exchange(call->completed, true)) return;
   deliver(*call->host, call->incarnation,
-          [call, response](Controller& core) { call->conclude(core, response); });
+          [call, response](Controller& core) { call->complete(core, response); });
 }
 
-// ---- calls to the key-value store ----------------------------------------------------------------
+// ---- calls to the key-value store ---------------------------------------------------------------
 
 void SimulatedControllers::perform(ControllerHost& host, const StoreCall& action) {
   Simulation& simulation = environment_.simulation;
   const bool late = std::holds_alternative<Transaction>(action.request) &&
                     simulation.now() < environment_.faults.transactions_late_until &&
-                    !environment_.faults.store_outage && simulation.chance() < kShareOfLateTransactions;
-  if (late) return execute_late(host, action);
+                    !environment_.faults.store_outage && simulation.chance() < kLateTransactionProbability;
+  if (late) return execute_transaction_late(host, action);
   call<StoreResponse>(
-      {&host, host.incarnation, kStoreAddress, kStorePatience,
+      {&host, host.incarnation, kStoreAddress, kStoreTimeout,
        [this, request = action.request, name = host.name] { return serve_store(name, request); },
        [id = action.call](Controller& core, const StoreResponse& response) {
          core.on_store_response(id, response);
        }});
 }
 
-/// The controller gets no answer, and the transaction is executed after newer ones.
-void SimulatedControllers::execute_late(ControllerHost& host, const StoreCall& action) {
+void SimulatedControllers::execute_transaction_late(ControllerHost& host, const StoreCall& action) {
   Simulation& simulation = environment_.simulation;
   environment_.evidence.add(Evidence::transaction_executed_late);
   simulation.after(seconds(2 + simulation.chance() * 10), [this, http = wire::request_of(action.request)] {
     environment_.store.handle(http, environment_.simulation.now());
   });
-  simulation.after(kStorePatience, [this, &host, incarnation = host.incarnation, id = action.call] {
+  simulation.after(kStoreTimeout, [this, &host, incarnation = host.incarnation, id = action.call] {
     deliver(host, incarnation, [id](Controller& core) { core.on_store_response(id, StoreResponse{}); });
   });
 }
@@ -95,10 +95,10 @@
   return wire::parse_store_response(request, response.status, response.body);
 }
 
-// ---- calls to the cloud and to workers -----------------------------------------------------------
+// ---- calls to the cloud and to workers ----------------------------------------------------------
 
 void SimulatedControllers::perform(ControllerHost& host, const CloudCall& action) {
-  call<CloudResponse>({&host, host.incarnation, kCloudAddress, kCloudPatience,
+  call<CloudResponse>({&host, host.incarnation, kCloudAddress, kCloudTimeout,
                        [this, request = action.request] {
                          const Response response = machines_.cloud().handle(wire::request_of(request),
                                                                             environment_.simulation.now());
@@ -116,7 +116,7 @@
   CommandRequest delivered = action.request;
   delivered.commands = environment_.defects.delivered(std::move(delivered.commands));
   call<CommandResponse>(
-      {&host, host.incarnation, machine, kWorkerPatience,
+      {&host, host.incarnation, machine, kWorkerTimeout,
        [this, machine, body = wire::request_of(delivered).body] { return serve_commands(machine, body); },
        [id = action.call](Controller& core, const CommandResponse& response) {
          core.on_command_response(id, response);
@@ -127,14 +127,14 @@
   SimulatedWorker* worker = machines_.running_worker(machine);
   if (worker == nullptr || worker->unreachable_inbound) return {};
   network_.duplicate_sometimes([this, machine, body] {
-    if (SimulatedWorker* later = machines_.running_worker(machine))
-      later->handle_commands(body, environment_.simulation.now());
+    if (SimulatedWorker* current = machines_.running_worker(machine))
+      current->handle_commands(body, environment_.simulation.now());
   });
   const Response response = worker->handle_commands(body, environment_.simulation.now());
   return wire::parse_command_response(response.status, response.body);
 }
 
-// ---- messages and answers ------------------------------------------------------------------------
+// ---- peer messages, replies and log lines -------------------------------------------------------
 
 void SimulatedControllers::perform(ControllerHost& host, const PeerSend& action) {
   ControllerHost* peer = find(action.host);
@@ -143,7 +143,7 @@
   network_.send(host.name, peer->name, [this, peer, frame] {
     const codec::Decoded decoded = codec::decode(frame);
     if (decoded.state != codec::Decoded::State::complete)
-      throw std::logic_error("a frame can't be decoded again");
+      throw std::logic_error("cannot decode the encoded peer message");
     deliver(*peer, peer->incarnation, [envelope = decoded.envelope](Controller& core) {
       core.on_peer(envelope.sender, envelope.message);
     });
