--- a/tests/sim/simulated_key_value_store.cpp
+++ b/tests/sim/simulated_key_value_store.cpp
@@ -9,7 +9,8 @@
 
 namespace {
 
-/// A parameter of a target's query; callers of the simulated store escape only what they must.
+/// Returns a parameter of the query in a request target, or an empty string if it is absent. Does not decode
+/// percent escapes: clients of the simulated store escape no character that can occur in a key.
 std::string parameter(const std::string& target, const std::string& name) {
   const auto query = target.find('?');
   if (query == std::string::npos) return {};
@@ -23,7 +24,8 @@
   return {};
 }
 
-std::string key_in_path(const std::string& target, const char* prefix) {
+/// Returns the part of a request target after `prefix` and a slash.
+std::string key_from_path(const std::string& target, const char* prefix) {
   return target.substr(std::string(prefix).size() + 1);
 }
 
@@ -31,13 +33,13 @@
 
 void SimulatedKeyValueStore::set_outage(bool on, Micros now) {
   expire_leases(now);
-  if (out_ && !on)
+  if (outage_ && !on)
     for (auto& [id, lease] : leases_) lease.expires_at = now + lease.term;
-  out_ = on;
+  outage_ = on;
 }
 
 void SimulatedKeyValueStore::expire_leases(Micros now) {
-  if (out_) return;
+  if (outage_) return;
   for (auto lease = leases_.begin(); lease != leases_.end();) {
     if (lease->second.expires_at > now) {
       ++lease;
@@ -51,9 +53,9 @@
 
 Response SimulatedKeyValueStore::handle(const wire::HttpRequest& request, Micros now) {
   expire_leases(now);
-  if (out_) return {503, "{}"};
-  if (!requests_.take(now)) {
-    ++refused_;
+  if (outage_) return {503, "{}"};
+  if (!request_bucket_.take(now)) {
+    ++rate_limited_;
     return {429, "{}"};
   }
   if (request.method == "GET")
@@ -85,7 +87,7 @@
 }
 
 Response SimulatedKeyValueStore::read(const std::string& target) const {
-  const std::string key = key_in_path(target, kKeysPath);
+  const std::string key = key_from_path(target, kKeysPath);
   const auto entry = entries_.find(key);
   if (entry == entries_.end()) return {404, json{{kStoreRevision, revision_}}.dump()};
   const json row{{kKey, key}, {kValue, entry->second.value}, {kRevision, entry->second.revision}};
@@ -100,7 +102,7 @@
 }
 
 Response SimulatedKeyValueStore::renew_lease(const std::string& target, Micros now) {
-  const auto lease = leases_.find(std::stoull(key_in_path(target, kLeasesPath)));
+  const auto lease = leases_.find(std::stoull(key_from_path(target, kLeasesPath)));
   if (lease == leases_.end()) return {404, "{}"};
   lease->second.expires_at = now + lease->second.term;
   return {200, "{}"};
@@ -113,8 +115,8 @@
     ++too_large_;
     return {400, "{}"};
   }
-  if (!writes_.take(now, static_cast<double>(writes.size()))) {
-    ++refused_;
+  if (!write_bucket_.take(now, static_cast<double>(writes.size()))) {
+    ++rate_limited_;
     return {429, "{}"};
   }
   for (const json& write : writes) {
