--- a/tests/sim/simulated_worker.cpp
+++ b/tests/sim/simulated_worker.cpp
@@ -12,8 +12,8 @@
 
 namespace {
 
-constexpr Micros kRetryAfter = seconds(1);
-constexpr Micros kMinHeartbeatPause = millis(500);
+constexpr Micros kHeartbeatRetryDelay = seconds(1);
+constexpr Micros kMinHeartbeatInterval = millis(500);
 
 }  // namespace
 
@@ -21,7 +21,7 @@
                                  const Settings& settings, Hooks hooks, Micros now)
     : machine_(machine), type_(type), settings_(settings), hooks_(std::move(hooks)), lease_renewed_at_(now) {}
 
-void SimulatedWorker::record_end(const Key& key, const LocalTask& task) const {
+void SimulatedWorker::report_task_end(const Key& key, const LocalTask& task) const {
   if (task.phase == TaskPhase::running || task.phase == TaskPhase::saving)
     hooks_.checker->task_ended(key.first, machine_.name);
 }
@@ -40,7 +40,7 @@
 }
 
 void SimulatedWorker::stop() {
-  for (const auto& [key, task] : tasks_) record_end(key, task);
+  for (const auto& [key, task] : tasks_) report_task_end(key, task);
   tasks_.clear();
 }
 
@@ -48,22 +48,22 @@
   stop();
   ++incarnation_;
   lease_renewed_at_ = now;
-  changed_ = true;
+  changed_since_heartbeat_ = true;
 }
 
-// ---- running tasks -------------------------------------------------------------------------------
+// ---- running tasks ------------------------------------------------------------------------------
 
 void SimulatedWorker::advance(Micros now) {
   if (machine_.dead) return;
   if (now - lease_renewed_at_ > settings_.worker_lease) begin_incarnation(now);
-  // A machine that hangs does nothing but lose its lease in time.
+  // The lease of a hanging machine still expires. Nothing else happens on the machine.
   if (hanging) return;
   for (auto& [key, task] : tasks_)
     if (task.phase != TaskPhase::exited && now >= task.phase_ends_at) end_phase(key, task, now);
 }
 
 void SimulatedWorker::end_phase(const Key& key, LocalTask& task, Micros now) {
-  changed_ = true;
+  changed_since_heartbeat_ = true;
   if (task.phase == TaskPhase::fetching) return begin_running(key, task, now);
   hooks_.checker->task_ended(key.first, machine_.name);
   const bool done = task.phase == TaskPhase::running;
@@ -72,9 +72,9 @@
 }
 
 void SimulatedWorker::begin_running(const Key& key, LocalTask& task, Micros now) {
-  images_.insert(hooks_.job(key.first.job)->image);
+  cached_images_.insert(hooks_.job(key.first.job)->image);
   task.phase = TaskPhase::running;
-  // A result is kept: a task that completed exits at once if it is started again.
+  // Results are kept: a task that has already completed is done immediately if it is started again.
   task.phase_ends_at = hooks_.checker->is_completed(key.first) ? now : now + hooks_.run_time(key.first);
   hooks_.checker->task_started(key.first, machine_.name, machine_.type, machine_.zone, machine_.spot, now);
   if (!fails_tasks) return;
@@ -83,7 +83,7 @@
   ++failures;
 }
 
-// ---- heartbeats ----------------------------------------------------------------------------------
+// ---- heartbeats ---------------------------------------------------------------------------------
 
 Heartbeat SimulatedWorker::status() {
   Heartbeat heartbeat;
@@ -103,14 +103,15 @@
 bool SimulatedWorker::heartbeat_due(Micros now) const {
   if (hanging || machine_.dead || awaits_answer_ || now < retry_at_) return false;
   const Micros pause = now - heartbeat_began_at_;
-  return pause >= settings_.heartbeat_interval || (changed_ && pause >= kMinHeartbeatPause);
+  return pause >= settings_.heartbeat_interval ||
+         (changed_since_heartbeat_ && pause >= kMinHeartbeatInterval);
 }
 
 std::string SimulatedWorker::begin_heartbeat(Micros now) {
   awaits_answer_ = true;
-  changed_ = false;
+  changed_since_heartbeat_ = false;
   heartbeat_began_at_ = now;
-  heartbeat_incarnation_ = incarnation_;
+  incarnation_at_heartbeat_ = incarnation_;
   ++heartbeat_number_;
   return wire::body_of(status());
 }
@@ -118,7 +119,7 @@
 void SimulatedWorker::heartbeat_failed(Micros now) {
   awaits_answer_ = false;
   target.clear();
-  retry_at_ = now + kRetryAfter;
+  retry_at_ = now + kHeartbeatRetryDelay;
 }
 
 void SimulatedWorker::heartbeat_answered(int status, const std::string& body, Micros now) {
@@ -129,29 +130,29 @@
     if (answer.contains(kRedirect)) {
       target = answer.at(kRedirect).get<std::string>();
       retry_at_ = now;
-      changed_ = true;
+      changed_since_heartbeat_ = true;
     }
     return;
   }
   awaits_answer_ = false;
-  if (heartbeat_incarnation_ != incarnation_) return;
+  if (incarnation_at_heartbeat_ != incarnation_) return;
   const json answer = json::parse(body);
   const auto token = answer.value(kFencingToken, std::uint64_t{0});
   if (token < token_) return;
-  if (token > token_) changed_ = true;
+  if (token > token_) changed_since_heartbeat_ = true;
   token_ = token;
   lease_renewed_at_ = std::max(lease_renewed_at_, heartbeat_began_at_);
   execute(answer.at(kCommands), now);
 }
 
-// ---- commands ------------------------------------------------------------------------------------
+// ---- commands -----------------------------------------------------------------------------------
 
 Response SimulatedWorker::handle_commands(const std::string& body, Micros now) {
   const json request = json::parse(body);
   const auto token = request.at(kFencingToken).get<std::uint64_t>();
   if (token < token_ || request.at(kIncarnation).get<std::uint64_t>() != incarnation_)
     return {409, wire::body_of(status())};
-  if (token > token_) changed_ = true;
+  if (token > token_) changed_since_heartbeat_ = true;
   token_ = token;
   execute(request.at(kCommands), now);
   return {200, wire::body_of(status())};
@@ -174,7 +175,7 @@
     } else if (task->second.phase != TaskPhase::exited) {
       execute_stop(key, task->second, seconds(command.at(kGracePeriod).get<double>()), now);
     }
-    changed_ = true;
+    changed_since_heartbeat_ = true;
   }
 }
 
@@ -184,28 +185,28 @@
   const JobSpec* job = hooks_.job(task.job);
   if (job == nullptr || task.index >= job->tasks) return {TaskPhase::exited, ExitCause::unknown, now};
   Resources used;
-  bool is_here = false;
+  bool already_present = false;
   for (const auto& [key, other] : tasks_) {
     if (other.phase == TaskPhase::exited) continue;
     used += hooks_.job(key.first.job)->each;
-    is_here |= key.first == task;
+    already_present |= key.first == task;
   }
-  if (is_here) return {TaskPhase::exited, ExitCause::busy, now};
+  if (already_present) return {TaskPhase::exited, ExitCause::busy, now};
   if (!(used + job->each).fits_in(type_.size))
     return {TaskPhase::exited, ExitCause::insufficient_resources, now};
-  const bool cached = images_.contains(job->image);
+  const bool cached = cached_images_.contains(job->image);
   const Micros fetch_time = cached ? Micros{0} : seconds(job->image_gb / type_.fetch_gb_per_s);
   return {TaskPhase::fetching, ExitCause::none, now + fetch_time};
 }
 
 void SimulatedWorker::execute_stop(const Key& key, LocalTask& task, Micros grace, Micros now) {
   const JobSpec* job = hooks_.job(key.first.job);
-  const bool saves = task.phase == TaskPhase::running && job->checkpoint.count() > 0 && grace >= job->save;
-  if (saves) {
+  const bool can_save = task.phase == TaskPhase::running && job->checkpoint.count() > 0 && grace >= job->save;
+  if (can_save) {
     task.phase = TaskPhase::saving;
     task.phase_ends_at = now + job->save;
   } else if (task.phase != TaskPhase::saving || grace == Micros{0}) {
-    record_end(key, task);
+    report_task_end(key, task);
     task = {TaskPhase::exited, ExitCause::stopped, now};
   }
 }
--- a/tests/sim/simulated_worker.h
+++ b/tests/sim/simulated_worker.h
@@ -1,5 +1,5 @@
-// The simulated worker of one machine, by the published protocol: incarnations, fencing tokens, its lease,
-// commands, images and tasks.
+// The simulated worker of one machine. Implements the published protocol: incarnations, fencing tokens, the
+// worker's lease, commands, images and tasks.
 #pragma once
 
 #include <functional>
@@ -14,72 +14,79 @@
 
 namespace bendtide::sim {
 
-/// Reports to the checker which tasks are on its machine. `now` is always the time of the caller's clock and
-/// never decreases.
+/// Reports the tasks that run on its machine to the checker. The parameter `now` is always the current time
+/// of the caller's clock, which never goes back.
 class SimulatedWorker {
  public:
   struct Hooks {
-    std::function<const JobSpec*(const std::string&)> job;  ///< null for an unknown job
-    std::function<Micros(const TaskId&)> run_time;
+    std::function<const JobSpec*(const std::string&)> job;  ///< returns null for an unknown job id
+    std::function<Micros(const TaskId&)> run_time;          ///< from the start of a task until it is done
     Checker* checker;
   };
   SimulatedWorker(SimulatedCloud::Machine& machine, const MachineType& type, const Settings& settings,
                   Hooks hooks, Micros now);
 
-  /// Lets time pass: fetches images, runs tasks to their ends, and ends the lease.
+  /// Advances the worker to `now`: ends the phases of tasks that are due. If the lease has expired, ends all
+  /// tasks and begins a new incarnation.
   void advance(Micros now);
 
+  /// Returns whether the worker should send a heartbeat now.
   bool heartbeat_due(Micros now) const;
-  /// Begins a heartbeat and returns its body. One at a time: it ends with one of the two calls below.
+  /// Begins a heartbeat and returns its body. Only one heartbeat may be in flight: it must end with a call of
+  /// heartbeat_answered() or heartbeat_failed() before the next one begins.
   std::string begin_heartbeat(Micros now);
+  /// Handles the response to the heartbeat in flight.
   void heartbeat_answered(int status, const std::string& body, Micros now);
-  /// Without an answer: the next heartbeat goes to another controller.
+  /// Handles the lack of a usable response. The next heartbeat goes to another controller, after a delay.
   void heartbeat_failed(Micros now);
-  /// Whether a heartbeat is under way.
+  /// Returns whether a heartbeat is in flight.
   bool awaits_answer() const { return awaits_answer_; }
-  /// Number of the heartbeat begun last.
+  /// Returns the number of the latest heartbeat that was begun.
   std::uint64_t heartbeat_number() const { return heartbeat_number_; }
 
-  /// Serves commands that are sent directly, between heartbeats.
+  /// Serves a command request, which a controller sends independently of heartbeats.
   Response handle_commands(const std::string& body, Micros now);
 
-  /// What the tasks on the machine leave free.
+  /// Returns the resources of the machine that no task holds.
   Resources free() const;
-  /// Number of tasks that hold resources.
+  /// Returns the number of tasks that hold resources.
   std::size_t active_tasks() const;
+  /// Returns whether none of the faults below affects the worker.
   bool is_healthy() const {
     return !hanging && !fails_tasks && !unreachable_inbound && !unreachable_outbound;
   }
-  /// All tasks end.
+  /// Ends all tasks immediately and removes them.
   void stop();
-  /// Comes back at once as a new incarnation, without its tasks.
+  /// Restarts the worker as a new incarnation without tasks; it is up again immediately.
   void restart(Micros now) { begin_incarnation(now); }
 
-  std::string target;                 ///< the controller it reports to; empty: none is known
-  std::size_t next_controller = 0;    ///< the one to be tried next if none is known
-  bool hanging = false;               ///< executes nothing and sends nothing
-  bool fails_tasks = false;           ///< every task that starts here fails at once
-  bool unreachable_inbound = false;   ///< neither commands nor answers reach it
+  std::string target;                 ///< host of the controller that gets its heartbeats; empty: unknown
+  std::size_t next_controller = 0;    ///< index of the next controller to try while `target` is empty
+  bool hanging = false;               ///< it executes and sends nothing
+  bool fails_tasks = false;           ///< each task fails as soon as it starts
+  bool unreachable_inbound = false;   ///< neither commands nor heartbeat responses reach it
   bool unreachable_outbound = false;  ///< its heartbeats reach no controller
-  std::size_t failures = 0;           ///< tasks that failed here
+  std::size_t failures = 0;           ///< number of tasks that failed on the machine
 
  private:
-  using Key = std::pair<TaskId, std::uint64_t>;
+  using Key = std::pair<TaskId, std::uint64_t>;  ///< a task and the number of its attempt
   struct LocalTask {
     TaskPhase phase = TaskPhase::fetching;
     ExitCause cause = ExitCause::none;
-    Micros phase_ends_at{0};
+    Micros phase_ends_at{0};  ///< unused once the task has exited
   };
+  /// Returns the state to report, with a new sequence number.
   Heartbeat status();
   void execute(const nlohmann::json& commands, Micros now);
   void execute_start(const Key& key, Micros now);
   void execute_stop(const Key& key, LocalTask& task, Micros grace, Micros now);
+  /// Returns the initial state of a task: exited if it can't be started on this machine.
   LocalTask admit(const TaskId& task, Micros now) const;
   void end_phase(const Key& key, LocalTask& task, Micros now);
   void begin_running(const Key& key, LocalTask& task, Micros now);
   void begin_incarnation(Micros now);
-  /// Tells the checker that a task is no longer on the machine, if it was.
-  void record_end(const Key& key, const LocalTask& task) const;
+  /// Tells the checker that a task has ended, if it was running or saving a checkpoint.
+  void report_task_end(const Key& key, const LocalTask& task) const;
 
   SimulatedCloud::Machine& machine_;
   const MachineType type_;
@@ -90,13 +97,13 @@
   std::uint64_t token_ = 0;
   Micros lease_renewed_at_{0};
   Micros heartbeat_began_at_{0};
-  Micros retry_at_{0};
+  Micros retry_at_{0};  ///< no heartbeat is due before this time
   std::uint64_t heartbeat_number_ = 0;
-  std::uint64_t heartbeat_incarnation_ = 0;
+  std::uint64_t incarnation_at_heartbeat_ = 0;  ///< incarnation that began the latest heartbeat
   bool awaits_answer_ = false;
-  bool changed_ = true;  ///< since the last heartbeat
+  bool changed_since_heartbeat_ = true;  ///< the state to report has changed since the latest heartbeat
   std::map<Key, LocalTask> tasks_;
-  std::set<std::string> images_;
+  std::set<std::string> cached_images_;
 };
 
 }  // namespace bendtide::sim
