--- a/tests/sim/simulated_machines.cpp
+++ b/tests/sim/simulated_machines.cpp
@@ -4,12 +4,13 @@
 
 namespace {
 
-constexpr int kCapacity = 14;  ///< machines of the cloud
-constexpr Micros kServiceRunTime = seconds(100'000);
-// Boot times during FaultKind::machines_boot_late, as factors of the usual ones.
-constexpr double kShareThatNeverBoots = 0.4;
-constexpr double kNever = 1000;
-constexpr double kLate = 4;
+constexpr int kMaxMachines = 14;                      ///< capacity of the cloud
+constexpr Micros kServiceRunTime = seconds(100'000);  ///< longer than any scenario
+// During FaultKind::machines_boot_late, boot times are multiplied by one of the factors below. The larger one
+// delays the boot beyond the end of the scenario.
+constexpr double kNeverBootsProbability = 0.4;
+constexpr double kNeverBootsFactor = 1000;
+constexpr double kLateBootFactor = 4;
 
 std::vector<MachineType> machine_types() {
   MachineType small{"small", {8000, 0, 64000}, 50, 0.8, 0.5, 0.12, seconds(6), {"east", "west"}};
@@ -21,7 +22,7 @@
 
 SimulatedMachines::SimulatedMachines(Environment& environment)
     : environment_(environment),
-      cloud_(machine_types(), kCapacity, [this](SimulatedCloud::Machine& machine) { boot(machine); }) {}
+      cloud_(machine_types(), kMaxMachines, [this](SimulatedCloud::Machine& machine) { boot(machine); }) {}
 
 void SimulatedMachines::add_initial() {
   for (const char* zone : {"east", "west", "east"}) cloud_.add("small", zone, false, Micros{0});
@@ -31,7 +32,7 @@
   Simulation& simulation = environment_.simulation;
   double boot_seconds = 2 + simulation.chance() * 8;
   if (simulation.now() < environment_.faults.machines_boot_late_until)
-    boot_seconds *= simulation.chance() < kShareThatNeverBoots ? kNever : kLate;
+    boot_seconds *= simulation.chance() < kNeverBootsProbability ? kNeverBootsFactor : kLateBootFactor;
   simulation.after(seconds(boot_seconds), [this, name = machine.name] { start_worker(name); });
 }
 
@@ -55,7 +56,7 @@
   const JobSpec& job = environment_.jobs.at(task.job);
   if (job.shape == Shape::service) return kServiceRunTime;
   const std::int64_t estimate = job.estimate.count();
-  // The few tasks of a long job end far apart.
+  // The tasks of a long job with few tasks end far apart: after one, two and three thirds of the estimate.
   if (environment_.scenario.long_tasks && job.tasks <= 3) return Micros{estimate * (1 + task.index % 3) / 3};
   return Micros{estimate * (8 + task.index % 5) / 10};
 }
--- a/tests/sim/simulated_machines.h
+++ b/tests/sim/simulated_machines.h
@@ -1,4 +1,4 @@
-// The machines of a simulated cluster: the cloud that provisions them, and how they boot.
+// The machines of a simulated cluster: the cloud that creates them, their boot and their workers.
 #pragma once
 
 #include <vector>
@@ -13,23 +13,26 @@
  public:
   explicit SimulatedMachines(Environment& environment);
 
-  /// Adds the machines that are there before any controller runs.
+  /// Adds the machines that exist before the first controller starts.
   void add_initial();
 
   SimulatedCloud& cloud() { return cloud_; }
   const SimulatedCloud& cloud() const { return cloud_; }
-  /// Null if the machine is gone, dead or not up yet.
+  /// Returns the worker of a machine, or null if the machine is deleted, dead or still booting.
   SimulatedWorker* running_worker(const std::string& machine) { return cloud_.running_worker(machine); }
-  /// Names of the machines that are up, in one zone or, if that is empty, in all.
+  /// Returns the names of the machines that are up in a zone, or in all zones if `zone` is empty.
   std::vector<std::string> up(const std::string& zone = "") const;
-  /// The name of a machine that is up, drawn at random; empty if there is none.
+  /// Returns the name of a random machine that is up, or an empty string if there is none.
   std::string random();
-  /// Names of up to `count` machines that are up, those with most tasks first.
+  /// Returns the names of up to `count` machines that are up, in descending order of their active tasks.
   std::vector<std::string> busiest(int count) const;
 
  private:
+  /// Schedules the end of the boot of a new machine.
   void boot(const SimulatedCloud::Machine& machine);
+  /// Ends the boot of a machine, unless it was deleted or died in the meantime.
   void start_worker(const std::string& machine);
+  /// Returns the time that a task runs until it is done. It differs between the tasks of a job.
   Micros run_time(const TaskId& task) const;
 
   Environment& environment_;
