--- a/tests/sim/simulated_network.cpp
+++ b/tests/sim/simulated_network.cpp
@@ -5,10 +5,10 @@
 namespace {
 
 constexpr Micros kMinLatency = millis(1);
-constexpr int kLatencySpreadMicros = 4000;
-constexpr double kShareOfSlowMessages = 0.01;
-constexpr double kShareOfDuplicates = 0.02;
-constexpr Micros kCheckAwakeEvery = millis(100);
+constexpr int kLatencyRangeMicros = 4000;
+constexpr double kSlowMessageProbability = 0.01;
+constexpr double kDuplicateProbability = 0.02;
+constexpr Micros kHangCheckInterval = millis(100);
 
 }  // namespace
 
@@ -36,26 +36,27 @@
     return;
   }
   Simulation& simulation = environment_.simulation;
-  Micros latency = kMinLatency + Micros{simulation.pick(kLatencySpreadMicros)};
-  if (simulation.chance() < kShareOfSlowMessages) latency += millis(200 + simulation.pick(1500));
+  Micros latency = kMinLatency + Micros{simulation.pick(kLatencyRangeMicros)};
+  if (simulation.chance() < kSlowMessageProbability) latency += millis(200 + simulation.pick(1500));
   simulation.after(latency, std::move(delivery));
 }
 
 void SimulatedNetwork::send_to_host(const std::string& from, const std::string& to, Delivery delivery) {
-  send(from, to, [this, to, delivery = std::move(delivery)] { deliver_when_awake(to, delivery); });
+  send(from, to, [this, to, delivery = std::move(delivery)] { deliver_when_responsive(to, delivery); });
 }
 
-void SimulatedNetwork::deliver_when_awake(const std::string& to, const Delivery& delivery) {
+void SimulatedNetwork::deliver_when_responsive(const std::string& to, const Delivery& delivery) {
   const auto machine = machines_.cloud().machines().find(to);
-  const bool hangs = machine != machines_.cloud().machines().end() && machine->second.worker &&
-                     machine->second.worker->hanging;
-  if (!hangs) return delivery();
-  environment_.simulation.after(kCheckAwakeEvery, [this, to, delivery] { deliver_when_awake(to, delivery); });
+  const bool is_hanging = machine != machines_.cloud().machines().end() && machine->second.worker &&
+                          machine->second.worker->hanging;
+  if (!is_hanging) return delivery();
+  environment_.simulation.after(kHangCheckInterval,
+                                [this, to, delivery] { deliver_when_responsive(to, delivery); });
 }
 
 void SimulatedNetwork::duplicate_sometimes(Delivery delivery) {
   Simulation& simulation = environment_.simulation;
-  if (!environment_.scenario.inject_faults || simulation.chance() > kShareOfDuplicates) return;
+  if (!environment_.scenario.inject_faults || simulation.chance() > kDuplicateProbability) return;
   simulation.after(seconds(0.5 + simulation.chance() * 40), std::move(delivery));
 }
 
--- a/tests/sim/simulated_network.h
+++ b/tests/sim/simulated_network.h
@@ -1,4 +1,4 @@
-// The network of a simulated cluster: latencies, cuts between two hosts, and duplicates.
+// The network of a simulated cluster: latencies, partitions between pairs of hosts, and duplicate messages.
 #pragma once
 
 #include <functional>
@@ -13,33 +13,38 @@
 
 class SimulatedNetwork {
  public:
+  /// Delivers one message to its recipient.
   using Delivery = std::function<void()>;
 
   SimulatedNetwork(Environment& environment, SimulatedMachines& machines)
       : environment_(environment), machines_(machines) {}
 
-  /// Delivers a message after a latency. While the two hosts are cut from each other it is lost, or held
-  /// until the end of the cut.
+  /// Delivers a message after a random latency. While the two hosts are partitioned, the message is lost or,
+  /// if the partition holds messages, delivered after the partition ends.
   void send(const std::string& from, const std::string& to, Delivery delivery);
-  /// The same to a host that may be a machine: one that hangs receives the message once it goes on.
+  /// Like send(), for a recipient that may be a machine. A hanging machine receives the message only after
+  /// it has stopped hanging.
   void send_to_host(const std::string& from, const std::string& to, Delivery delivery);
-  /// Now and then a message arrives a second time, up to 40 s later, whatever has become of both ends.
+  /// With a small probability, delivers a message a second time, 0.5 to 40.5 s later, whether or not its
+  /// sender and recipient are still up. Delivers nothing in scenarios without faults.
   void duplicate_sometimes(Delivery delivery);
 
-  /// Cuts two hosts from each other, in both directions, unless they are already. A cut that holds delivers
-  /// at its end what was sent during it.
+  /// Partitions two hosts from each other in both directions, unless they are partitioned already. If `hold`
+  /// is true, messages sent during the partition are delivered when it ends; otherwise they are lost.
   void cut(const std::string& one, const std::string& other, bool hold, Micros duration);
+  /// Returns whether any two hosts are partitioned from each other.
   bool has_cuts() const { return !cuts_.empty(); }
 
  private:
   struct Cut {
     bool hold = false;
-    std::vector<Delivery> held;
+    std::vector<Delivery> held;  ///< in the order in which the messages were sent
   };
   using Link = std::pair<std::string, std::string>;
 
   void end_cut(const Link& link);
-  void deliver_when_awake(const std::string& to, const Delivery& delivery);
+  /// Delivers a message, waiting until the recipient does not hang.
+  void deliver_when_responsive(const std::string& to, const Delivery& delivery);
 
   Environment& environment_;
   SimulatedMachines& machines_;
