--- a/tests/sim/simulated_cloud.cpp
+++ b/tests/sim/simulated_cloud.cpp
@@ -19,7 +19,7 @@
 SimulatedCloud::Machine& SimulatedCloud::add(const std::string& type, const std::string& zone, bool spot,
                                              Micros now) {
   char name[16];
-  std::snprintf(name, sizeof name, "n-%06llu", static_cast<unsigned long long>(next_number_++));
+  std::snprintf(name, sizeof name, "n-%06llu", static_cast<unsigned long long>(next_machine_number_++));
   Machine& machine = machines_[name];
   machine.name = name;
   machine.address = machine.name + ":9000";
@@ -42,7 +42,7 @@
 }
 
 Response SimulatedCloud::handle(const wire::HttpRequest& request, Micros now) {
-  if (out_) return {503, json{{kError, "outage"}}.dump()};
+  if (outage_) return {503, json{{kError, "outage"}}.dump()};
   if (request.target == kMachineTypesPath) return list_types();
   if (request.method == "POST" && request.target == kMachinesPath)
     return provision(json::parse(request.body), now);
@@ -68,15 +68,15 @@
 
 Response SimulatedCloud::provision(const json& body, Micros now) {
   const auto idempotency_key = body.at(kIdempotencyKey).get<std::string>();
-  if (const auto answer = answers_.find(idempotency_key); answer != answers_.end())
-    return {200, answer->second};
+  if (const auto earlier = responses_.find(idempotency_key); earlier != responses_.end())
+    return {200, earlier->second};
   json names = json::array();
   for (int i = 0; i < body.at(kCount).get<int>() && static_cast<int>(machines_.size()) < capacity_; ++i)
     names.push_back(add(body.at(kMachineType), body.at(kZone), body.at(kSpot), now).name);
   if (names.empty()) return {503, json{{kError, "no capacity"}}.dump()};
-  std::string& answer = answers_[idempotency_key];
-  answer = json{{kMachines, names}}.dump();
-  return {200, answer};
+  std::string& response = responses_[idempotency_key];
+  response = json{{kMachines, names}}.dump();
+  return {200, response};
 }
 
 Response SimulatedCloud::remove(const json& body) {
--- a/tests/sim/simulated_cloud.h
+++ b/tests/sim/simulated_cloud.h
@@ -1,4 +1,4 @@
-// The simulated cloud: provisions and deletes machines by the published protocol, in its JSON.
+// The simulated cloud: creates and deletes machines. Implements the published protocol in its JSON format.
 #pragma once
 
 #include <functional>
@@ -16,14 +16,15 @@
 
 class SimulatedWorker;
 
-/// Owns the machines. Provisioning is idempotent by idempotency key and limited by a capacity.
+/// Owns the machines. Requests to create machines are idempotent by their idempotency key. The number of
+/// machines is limited by the cloud's capacity.
 class SimulatedCloud {
  public:
   struct Machine {
     std::string name;
     std::string type;
     std::string zone;
-    std::string address;  ///< of its worker
+    std::string address;  ///< host and port of its worker
     bool spot = false;
     Micros provisioned_at{0};
     std::unique_ptr<SimulatedWorker> worker;  ///< null until the machine is up
@@ -31,24 +32,26 @@
 
     bool is_up() const { return worker != nullptr && !dead; }
   };
-  /// Called for every new machine; has to give it a worker once it is up.
-  using Boot = std::function<void(Machine&)>;
+  /// Called for each new machine. Must set the machine's worker when its boot ends.
+  using BootCallback = std::function<void(Machine&)>;
 
-  SimulatedCloud(std::vector<MachineType> types, int capacity, Boot boot)
+  SimulatedCloud(std::vector<MachineType> types, int capacity, BootCallback boot)
       : types_(std::move(types)), capacity_(capacity), boot_(std::move(boot)) {}
 
+  /// Serves one HTTP request.
   Response handle(const wire::HttpRequest& request, Micros now);
+  /// Creates a machine, regardless of the capacity.
   Machine& add(const std::string& type, const std::string& zone, bool spot, Micros now);
-  /// The machine and all that runs on it end; the machine stays listed until it is deleted.
+  /// Ends a machine and all its tasks. The machine remains listed until it is deleted.
   static void kill(Machine& machine);
   std::map<std::string, Machine>& machines() { return machines_; }
   const std::map<std::string, Machine>& machines() const { return machines_; }
-  /// The worker of a machine that is up; null if there is no such machine or it is not up.
+  /// Returns the worker of a machine, or null if the machine does not exist or is not up.
   SimulatedWorker* running_worker(const std::string& machine);
-  /// Null if there is no type of that name.
+  /// Returns null if there is no type with that name.
   const MachineType* type(const std::string& name) const;
-  /// During an outage every request is answered 503.
-  void set_outage(bool on) { out_ = on; }
+  /// Starts or ends an outage. Every request during an outage gets status 503.
+  void set_outage(bool on) { outage_ = on; }
 
  private:
   Response list_types() const;
@@ -57,12 +60,12 @@
   Response remove(const nlohmann::json& body);
 
   std::vector<MachineType> types_;
-  int capacity_;
-  Boot boot_;
+  int capacity_;  ///< number of machines
+  BootCallback boot_;
   std::map<std::string, Machine> machines_;
-  std::map<std::string, std::string> answers_;  ///< by idempotency key
-  std::uint64_t next_number_ = 1;
-  bool out_ = false;
+  std::map<std::string, std::string> responses_;  ///< response bodies of creations, by idempotency key
+  std::uint64_t next_machine_number_ = 1;
+  bool outage_ = false;
 };
 
 }  // namespace bendtide::sim
