--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -7,6 +7,7 @@
 namespace bendtide::codec {
 namespace {
 
+/// Returns one message of each type, with boundary values in some fields.
 std::vector<PeerMessage> one_of_each() {
   CallForProposals call;
   call.id = UINT64_MAX;
@@ -39,27 +40,27 @@
                         {{"n-1", seconds(3), seconds(4), {{{"run-1", 2}, 5, TaskPhase::saving, {}}}}, {}}}};
 }
 
-TEST(Codec, EveryMessageIsReadBackTheSame) {
+TEST(Codec, RoundTripsEveryMessageType) {
   const auto messages = one_of_each();
   ASSERT_EQ(messages.size(), std::variant_size_v<PeerMessage>);
-  for (const PeerMessage& m : messages) {
-    const std::string bytes = encode({"sender", m});
-    const Decoded d = decode(bytes + "rest");
-    ASSERT_EQ(d.state, Decoded::State::complete) << m.index();
-    EXPECT_EQ(d.consumed, bytes.size());
-    EXPECT_EQ(d.envelope.sender, "sender");
-    // What was read gives the same bytes again.
-    EXPECT_EQ(encode(d.envelope), bytes) << m.index();
+  for (const PeerMessage& message : messages) {
+    const std::string bytes = encode({"sender", message});
+    const Decoded decoded = decode(bytes + "rest");
+    ASSERT_EQ(decoded.state, Decoded::State::complete) << message.index();
+    EXPECT_EQ(decoded.consumed, bytes.size());
+    EXPECT_EQ(decoded.envelope.sender, "sender");
+    // Encoding the decoded message yields the same bytes.
+    EXPECT_EQ(encode(decoded.envelope), bytes) << message.index();
   }
 }
 
-TEST(Codec, APartOfAFrameIsIncomplete) {
+TEST(Codec, ReportsTruncatedFrameAsIncomplete) {
   const std::string bytes = encode({"sender", one_of_each()[2]});
   for (std::size_t n = 0; n < bytes.size(); ++n)
     EXPECT_EQ(decode(std::string_view(bytes).substr(0, n)).state, Decoded::State::incomplete) << n;
 }
 
-TEST(Codec, BadFramesAreRefused) {
+TEST(Codec, RejectsMalformedFrames) {
   const std::string good = encode({"sender", AwardNotice{"shard"}});
   auto with = [&](std::size_t at, char c) {
     std::string bytes = good;
@@ -71,21 +72,23 @@
       {"version", with(1, 9)},
       {"kind", with(3, 100)},
       {"sender longer than the frame", with(4, 120)},
-      {"bytes left over", with(2, static_cast<char>(good[2] - 1))},
+      {"unread bytes at the end of the frame", with(2, static_cast<char>(good[2] - 1))},
       {"frame too long", std::string("\xB7\x01\xFF\xFF\xFF\x7F", 6)},
-      {"length without end", "\xB7\x01" + std::string(12, '\xFF')},
+      {"unterminated length", "\xB7\x01" + std::string(12, '\xFF')},
   };
   for (const auto& [name, bytes] : cases) EXPECT_EQ(decode(bytes).state, Decoded::State::malformed) << name;
 }
 
-TEST(Codec, NoBytesCrashIt) {
+// Guards against crashes and reads beyond the input: changes random bytes in valid frames, after the magic
+// and the version.
+TEST(Codec, SurvivesCorruptedFrames) {
   std::mt19937 random(1);
   for (int i = 0; i < 20'000; ++i) {
     std::string bytes = encode({"sender", one_of_each()[random() % 9]});
     for (int k = 0; k < 3; ++k) bytes[2 + random() % (bytes.size() - 2)] = static_cast<char>(random());
-    const Decoded d = decode(bytes);
-    if (d.state == Decoded::State::complete) {
-      EXPECT_LE(d.consumed, bytes.size());
+    const Decoded decoded = decode(bytes);
+    if (decoded.state == Decoded::State::complete) {
+      EXPECT_LE(decoded.consumed, bytes.size());
     }
   }
 }
