--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -12,14 +12,15 @@
 
 using nlohmann::json;
 
-json good_job() {
+/// Returns a valid job specification, with an additional unknown field.
+json valid_job() {
   return json::parse(R"({"uid":"run-12","jobclass":"c","crew":"t","shape":"sweep","rank":"high","shards":4,
     "cpus":2.5,"cards":0,"memGb":8.0,"payload":"img","pullGb":1.5,"hulls":["small"],"berth":null,"oneZone":false,
     "apart":true,"driftwood":true,"expectS":30.0,"snapshotS":5.0,"stowS":1.0,"dueS":90.0,"something":"new"})");
 }
 
-TEST(JobSpecs, AreReadAndWrittenBack) {
-  const auto parsed = parse_job_spec(good_job().dump());
+TEST(JobSpecParser, RoundTripsValidSpec) {
+  const auto parsed = parse_job_spec(valid_job().dump());
   const auto* s = std::get_if<JobSpec>(&parsed);
   ASSERT_NE(s, nullptr) << std::get<FieldError>(parsed).text();
   EXPECT_EQ(s->each, (Resources{2500, 0, 8000}));
@@ -28,70 +29,70 @@
   EXPECT_EQ(std::get<JobSpec>(parse_job_spec(body_of(*s))), *s);
 }
 
-TEST(JobSpecs, BadOnesMayStillNameTheirJob) {
-  json v = good_job();
-  v.erase("crew");
-  EXPECT_EQ(find_job_id(v.dump()), "run-12");
+TEST(JobSpecParser, FindsJobIdInInvalidSpec) {
+  json job = valid_job();
+  job.erase("crew");
+  EXPECT_EQ(find_job_id(job.dump()), "run-12");
   EXPECT_EQ(find_job_id(R"({"uid":"job-12"})"), "");
   EXPECT_EQ(find_job_id("[]"), "");
   EXPECT_EQ(find_job_id(R"({"uid":"run-12")"), "");
 }
 
-struct BadField {
+struct InvalidField {
   const char* field;
   json value;
 };
 
-TEST(JobSpecs, BadOnesAreRefusedWithTheField) {
-  const std::vector<BadField> cases = {{"uid", "job-12"},
-                                       {"uid", "run-"},
-                                       {"uid", 12},
-                                       {"uid", "run-1/2"},
-                                       {"crew", nullptr},
-                                       {"crew", ""},
-                                       {"shape", "gang"},
-                                       {"rank", "urgent"},
-                                       {"shards", 0},
-                                       {"shards", -1},
-                                       {"shards", 100'001},
-                                       {"shards", 1.5},
-                                       {"shards", "4"},
-                                       {"cpus", 0},
-                                       {"cpus", -1},
-                                       {"cpus", "2"},
-                                       {"cpus", 1e300},
-                                       {"memGb", nullptr},
-                                       {"hulls", "small"},
-                                       {"hulls", json::array()},
-                                       {"hulls", {1, 2}},
-                                       {"berth", 5},
-                                       {"oneZone", "yes"},
-                                       {"driftwood", 1},
-                                       {"payload", json()},
-                                       {"pullGb", -0.5},
-                                       {"expectS", -1},
-                                       {"dueS", "soon"},
-                                       {"snapshotS", json::object()},
-                                       {"payload", std::string(5000, 'x')}};
-  for (const BadField& c : cases) {
-    json job = good_job();
+TEST(JobSpecParser, RejectsInvalidFieldByName) {
+  const std::vector<InvalidField> cases = {{"uid", "job-12"},
+                                           {"uid", "run-"},
+                                           {"uid", 12},
+                                           {"uid", "run-1/2"},
+                                           {"crew", nullptr},
+                                           {"crew", ""},
+                                           {"shape", "gang"},
+                                           {"rank", "urgent"},
+                                           {"shards", 0},
+                                           {"shards", -1},
+                                           {"shards", 100'001},
+                                           {"shards", 1.5},
+                                           {"shards", "4"},
+                                           {"cpus", 0},
+                                           {"cpus", -1},
+                                           {"cpus", "2"},
+                                           {"cpus", 1e300},
+                                           {"memGb", nullptr},
+                                           {"hulls", "small"},
+                                           {"hulls", json::array()},
+                                           {"hulls", {1, 2}},
+                                           {"berth", 5},
+                                           {"oneZone", "yes"},
+                                           {"driftwood", 1},
+                                           {"payload", json()},
+                                           {"pullGb", -0.5},
+                                           {"expectS", -1},
+                                           {"dueS", "soon"},
+                                           {"snapshotS", json::object()},
+                                           {"payload", std::string(5000, 'x')}};
+  for (const InvalidField& c : cases) {
+    json job = valid_job();
     job[c.field] = c.value;
     const auto parsed = parse_job_spec(job.dump());
-    const auto* why = std::get_if<FieldError>(&parsed);
-    ASSERT_NE(why, nullptr) << c.field << " = " << c.value;
-    EXPECT_EQ(why->field, c.field) << why->text();
-    EXPECT_TRUE(why->text().starts_with(c.field)) << why->text();
+    const auto* error = std::get_if<FieldError>(&parsed);
+    ASSERT_NE(error, nullptr) << c.field << " = " << c.value;
+    EXPECT_EQ(error->field, c.field) << error->text();
+    EXPECT_TRUE(error->text().starts_with(c.field)) << error->text();
   }
   for (const char* text : {"", "{", "[]", "3", "null", "\"x\"", "{\"uid\":\"run-1\"}", "[[[[[[[["})
     EXPECT_TRUE(std::holds_alternative<FieldError>(parse_job_spec(text))) << text;
 }
 
-TEST(JobSpecs, ErrorsSayWhatIsWrong) {
+TEST(JobSpecParser, ErrorTextNamesFieldAndProblem) {
   auto error_of = [](const std::string& body) {
     const auto parsed = parse_job_spec(body);
     return std::get<FieldError>(parsed).text();
   };
-  json job = good_job();
+  json job = valid_job();
   job["cpus"] = 0;
   EXPECT_EQ(error_of(job.dump()), "cpus: out of range");
   job.erase("cpus");
@@ -100,7 +101,7 @@
   EXPECT_EQ(error_of("[]"), "not an object");
 }
 
-TEST(Heartbeats, AreReadAndWrittenBack) {
+TEST(HeartbeatParser, RoundTripsValidHeartbeatAndRejectsInvalidFields) {
   const std::string text =
       R"({"helm":"n-1","address":"10.0.0.1:9","hull":"g","berth":"a","driftwood":true,"watch":2,"tick":8,"baton":4,
       "warningS":2.5,"shards":[{"shard":"run-1/3","launch":7,"phase":"ended","cause":"halted","saved":true},
@@ -123,7 +124,7 @@
   }
 }
 
-TEST(StoreResponses, EachStatusIsToldApart) {
+TEST(StoreResponseParser, MapsStatusAndBodyToOutcome) {
   using Outcome = StoreResponse::Outcome;
   struct Case {
     StoreRequest request;
@@ -158,7 +159,7 @@
         << c.status << " " << c.body;
 }
 
-TEST(CloudResponses, EachStatusIsToldApart) {
+TEST(CloudResponseParser, MapsStatusAndBodyToOutcome) {
   using Outcome = CloudResponse::Outcome;
   const CreateMachines create{"c", "t", "z", false, 1};
   EXPECT_EQ(parse_cloud_response(create, 200, R"({"helms":["n-1"]})").outcome, Outcome::ok);
@@ -170,7 +171,7 @@
   EXPECT_EQ(parse_cloud_response(DeleteMachines{{"n-1"}}, 500, "").outcome, Outcome::unknown);
 }
 
-TEST(CommandResponses, WithoutTheWorkersHeartbeatAreNone) {
+TEST(CommandResponseParser, RequiresWorkerStatusUnlessRefused) {
   using Outcome = CommandResponse::Outcome;
   EXPECT_EQ(parse_command_response(200, "{}").outcome, Outcome::unknown);
   EXPECT_EQ(parse_command_response(409, "{}").outcome, Outcome::refused);
