--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -7,7 +7,7 @@
 namespace bendtide {
 namespace {
 
-const std::string kGood = R"(
+const std::string kValidConfig = R"(
 host_name = "a"
 domain = "z"
 api_addr = "127.0.0.1:1"
@@ -42,27 +42,28 @@
 sockets = 800
 )";
 
-TEST(Config, IsReadAndTheTermDerived) {
-  const Settings s = parse_settings(kGood);
+TEST(Config, ParsesSettingsAndDerivesLeaseTerm) {
+  const Settings s = parse_settings(kValidConfig);
   EXPECT_EQ(s.peers.size(), 1u);
   EXPECT_EQ(s.teams.at(0).guarantee.cpu, 8500);
-  // What a cancelled job can outlive its cancellation by stays below what is allowed.
+  // Tasks of a cancelled job must be gone within the allowed time, even if the leader of the shard or the
+  // worker is unreachable until its lease expires.
   EXPECT_LT(s.lease_term() + s.worker_lease + seconds(5), s.cancel_within);
 }
 
-// A guest team comes with neither guarantee nor limit. Once, that was read as a limit of nothing:
-// every job got 422.
-TEST(Config, ATeamWithNeitherGuaranteeNorLimitIsNotLimited) {
+// Guards against reading a team's limit of zero as a quota of nothing. A guest team has neither a guarantee
+// nor a limit, and each of its jobs was rejected with status 422.
+TEST(Config, TeamWithoutGuaranteeAndLimitIsUnlimited) {
   const Settings s =
-      parse_settings(kGood + "[[settings.teams]]\nname = \"guest\"\ncpus = 0.0\ncpus_max = 0.0\n" +
+      parse_settings(kValidConfig + "[[settings.teams]]\nname = \"guest\"\ncpus = 0.0\ncpus_max = 0.0\n" +
                      "[[settings.teams]]\nname = \"no cards\"\ncpus_max = 8.0\ngpus_max = 0.0\n");
   EXPECT_EQ(s.team("guest")->limit, kNoLimit);
   EXPECT_EQ(s.team("guest")->guarantee, Quota{});
   EXPECT_EQ(s.team("no cards")->limit, (Quota{8000, 0}));
 }
 
-TEST(Config, ObjectivesThatAreNotKnownAreIgnored) {
-  std::string text = kGood;
+TEST(Config, IgnoresUnknownObjectives) {
+  std::string text = kValidConfig;
   for (const char* fields :
        {"kind = 'wait'\nclass = 'c'\nwithin_s = 60", "kind = 'finished'\nclass = 'c'\nwithin_s = 180",
         "kind = 'deadline'\nclass = 'c'\ntimes = 1.5", "kind = 'guarantee'\nwithin_s = 5",
@@ -75,31 +76,32 @@
   try {
     static_cast<void>(
         parse_settings(text + "[[settings.objectives]]\nkind = 'wait'\nclass = 'c'\nwithin_s = -1\n"));
-    ADD_FAILURE() << "not noticed";
+    ADD_FAILURE() << "a negative within_s was accepted";
   } catch (const ConfigError& e) {
     EXPECT_EQ(e.key(), "settings.objectives[7].within_s");
     EXPECT_STREQ(e.what(), "settings.objectives[7].within_s: out of range");
   }
 }
 
-// Where the workers' lease leaves time for it, the next leader of a shard takes over before its workers give
-// up.
-TEST(Config, TheTermLeavesWorkersTimeForTheNextLeader) {
+// If the worker lease is long enough, the lease term of a shard is so short that the next leader takes over
+// before the leases of the shard's workers expire.
+TEST(Config, LeaseTermLeavesTimeForFailoverWithinWorkerLease) {
   Settings s;
-  for (const auto& [lease, report, cancel, least, most] :
+  for (const auto& [lease, report, cancel, min_term, max_term] :
        {std::tuple(22.0, 4.0, 52.0, 9.0, 11.0), std::tuple(26.5, 5.0, 46.5, 12.0, 13.4),
         std::tuple(12.0, 1.5, 42.0, 5.5, 6.5)}) {
     s.worker_lease = seconds(lease);
     s.heartbeat_interval = seconds(report);
     s.cancel_within = seconds(cancel);
-    EXPECT_GE(s.lease_term(), seconds(least)) << lease;
-    EXPECT_LE(s.lease_term(), seconds(most)) << lease;
+    EXPECT_GE(s.lease_term(), seconds(min_term)) << lease;
+    EXPECT_LE(s.lease_term(), seconds(max_term)) << lease;
     EXPECT_LT(s.lease_term() + s.worker_lease + seconds(5), s.cancel_within) << lease;
   }
 }
 
-// The inequality of docs/DESIGN.md: at every deployment known, and at the borders of what is accepted.
-TEST(Config, CancelledTasksAreGoneInTimeOrTheSettingsAreRefused) {
+// Tests the bound in docs/DESIGN.md on the time until the tasks of a cancelled job are gone. Covers the
+// settings of all known deployments, and settings just within and just beyond what is accepted.
+TEST(Config, RejectsSettingsThatCannotBoundCancellationTime) {
   struct Case {
     double report, lease, cancel;
     bool accepted;
@@ -116,7 +118,7 @@
                                          {5, 600, 603, false},
                                          {5, 600, 604, true},
                                          {5, 600, 6000, true}}) {
-    std::string text = kGood;
+    std::string text = kValidConfig;
     auto set = [&](const std::string& from, const std::string& field, double value) {
       text.replace(text.find(from), from.size(), field + " = " + std::to_string(value));
     };
@@ -136,11 +138,11 @@
   }
 }
 
-TEST(Config, BadFilesAreRefusedWithTheField) {
+TEST(Config, RejectsInvalidFileAndNamesField) {
   struct Case {
     const char* from;
     const char* to;
-    const char* named;
+    const char* expected_field;  ///< the error text starts with it
   };
   const std::vector<Case> cases = {{"host_name = \"a\"", "", "host_name"},
                                    {"host_name = \"a\"", "host_name = 3", "host_name"},
@@ -155,22 +157,22 @@
                                    {"sockets = 800", "sockets = 1", "settings.machine_limits.sockets"},
                                    {"domain = \"z\"", "domain =", "line"}};
   for (const Case& c : cases) {
-    std::string text = kGood;
+    std::string text = kValidConfig;
     text.replace(text.find(c.from), std::string(c.from).size(), c.to);
     try {
       static_cast<void>(parse_settings(text));
-      ADD_FAILURE() << c.named << " was not noticed";
+      ADD_FAILURE() << "an invalid value was accepted: " << c.expected_field;
     } catch (const ConfigError& e) {
-      EXPECT_TRUE(std::string(e.what()).starts_with(c.named)) << e.what();
+      EXPECT_TRUE(std::string(e.what()).starts_with(c.expected_field)) << e.what();
     }
   }
   EXPECT_THROW(static_cast<void>(load_settings("/nowhere/at/all.toml")), ConfigError);
 }
 
-TEST(Policy, ChangesWholeOrNotAtAll) {
+TEST(Policy, AppliesAllChangesOrNone) {
   struct Case {
     Value fields;
-    const char* named;  // null: applied
+    const char* rejected_field;  ///< null: the changes are valid
   };
   const std::vector<Case> cases = {{{{"idle_return_s", 30}, {"spot_machines", false}}, nullptr},
                                    {{{"idle_return_s", 30}, {"close_bids", 7}}, "close_bids"},
@@ -182,10 +184,10 @@
   for (const Case& c : cases) {
     Policy policy;
     const auto error = policy.apply(c.fields);
-    EXPECT_EQ(error.has_value(), c.named != nullptr) << c.fields;
+    EXPECT_EQ(error.has_value(), c.rejected_field != nullptr) << c.fields;
     if (error) {
-      EXPECT_EQ(error->field, c.named);
-      EXPECT_EQ(error->text(), std::string(c.named) + ": " + error->problem);
+      EXPECT_EQ(error->field, c.rejected_field);
+      EXPECT_EQ(error->text(), std::string(c.rejected_field) + ": " + error->problem);
       EXPECT_EQ(Policy::to_json(policy), Policy::to_json(Policy{}));
     }
   }
