--- a/tests/sim/checker.h
+++ b/tests/sim/checker.h
@@ -1,4 +1,4 @@
-// The rules of the protocol, checked against what really happened on machines and what users were answered.
+// Checks the invariants of the scheduler against what happened on machines and what replies users received.
 #pragma once
 
 #include <map>
@@ -12,70 +12,83 @@
 
 namespace bendtide::sim {
 
-/// Records violations by the name of the rule. All times are of one clock, the caller's.
+/// Records the violations of each rule under its name. All times are readings of one clock, which the caller
+/// chooses.
 class Checker {
  public:
   explicit Checker(const Settings& settings) : settings_(settings) {}
 
-  // ---- what users see ----
+  // ---- requests of users and the replies to them ----
+  /// A user submitted a valid job.
   void submitted(const JobSpec& spec) { jobs_[spec.id].spec = spec; }
-  /// A submission that can never run: no answer may call it accepted.
+  /// A user submitted a job that can never run; no reply may confirm it.
   void submitted_invalid(const std::string& id) { invalid_jobs_.insert(id); }
+  /// A user received the reply that the job is accepted.
   void accepted(const std::string& id, Micros now);
   void cancel_requested(const std::string& id) { jobs_[id].cancel_requested = true; }
-  /// The answer to a poll, a repeated submission or a cancellation that was sent at `asked_at`.
-  void answered(const std::string& id, int status, JobPhase phase, Micros asked_at, Micros now);
-  /// A poll got no usable answer.
+  /// A user received the reply to a poll, a repeated submission or a cancellation that was sent at `sent_at`.
+  void answered(const std::string& id, int status, JobPhase phase, Micros sent_at, Micros now);
+  /// A poll timed out, or its reply did not tell the phase of the job.
   void unanswered(const std::string& id, Micros now);
 
-  // ---- what controllers command ----
-  /// A start as a controller commands it; a machine may execute it later. Returns whether a user had been
-  /// answered before that the job is cancelled.
+  // ---- commands of controllers ----
+  /// A controller sent a start command, which a machine may execute later. Returns whether a user had already
+  /// received the reply that the job is cancelled, and an award in flight at that time cannot be the cause.
   bool start_commanded(const TaskId& task, Micros now);
-  /// Starts commanded after a user was answered that the job is cancelled.
+  /// Number of start commands for which start_commanded() returned true.
   std::size_t starts_after_cancel() const { return starts_after_cancel_; }
 
-  // ---- what machines do ----
-  /// A task is on its machine from the moment it has its image.
+  // ---- tasks on machines ----
+  /// A task counts as running on its machine as soon as its image is there.
   void task_started(const TaskId& task, const std::string& machine, const std::string& type,
                     const std::string& zone, bool spot, Micros now);
+  /// A task ended, or its machine failed.
   void task_ended(const TaskId& task, const std::string& machine);
+  /// A task exited successfully.
   void completed(const TaskId& task) { jobs_[task.job].completed.insert(task.index); }
 
   // ---- queries ----
   bool is_completed(const TaskId& task) const;
   /// Number of completed tasks.
   std::size_t completed_tasks(const std::string& id) const { return jobs_.at(id).completed.size(); }
-  /// Zones of the tasks of a job that are on machines, one for each task.
+  /// The zones of the tasks of the job that are on machines, one entry for each task.
   std::vector<std::string> zones_of(const std::string& id) const;
-  /// Whether an accepted job has tasks that are neither completed nor on a machine.
-  bool has_waiting_tasks(const std::string& id) const;
-  bool is_running(const std::string& id) const { return jobs_.contains(id) && !jobs_.at(id).places.empty(); }
+  /// Whether the job is accepted, neither finished nor cancelled, and has tasks that are neither completed
+  /// nor on a machine.
+  bool has_pending_tasks(const std::string& id) const;
+  bool is_running(const std::string& id) const {
+    return jobs_.contains(id) && !jobs_.at(id).placements.empty();
+  }
   bool is_running_on(const std::string& id, const std::string& machine) const;
-  /// Quota that the tasks of a team on machines use.
+  /// The quota used by the tasks of a team that are on machines.
   const Quota& used(const std::string& team) { return used_[team]; }
 
-  // ---- checks that time brings about ----
-  /// All faults are over: from now on every poll has to be answered.
+  // ---- checks of deadlines ----
+  /// All faults are over; from `now` on every poll must get a usable reply.
   void set_settled(Micros now) { settled_at_ = now; }
-  bool settled() const { return settled_at_.has_value(); }
-  /// Whether a task of the job waits although it could run; to be called regularly.
-  void set_could_run(const std::string& id, bool could_run, Micros now);
-  /// To be called regularly: no task of a cancelled job may still be on a machine after the allowed time.
+  bool is_settled() const { return settled_at_.has_value(); }
+  /// To be called regularly. Records whether a task of the job is pending although it could run; if it stays
+  /// so for too long, the rule "neglected" is violated.
+  void set_runnable(const std::string& id, bool is_runnable, Micros now);
+  /// To be called regularly. Once the time allowed for a cancellation is over, no task of the job may be on a
+  /// machine.
   void check_cancelled_jobs(Micros now);
-  /// At the end of the run: how many of the jobs of each team and class were served.
+  /// To be called at the end of the run. Checks that enough jobs of each team and each class were served.
   void finish();
 
   const std::map<std::string, std::vector<std::string>>& violations() const { return violations_; }
-  /// One line with the count and the first case of each violated rule; empty if there is none.
+  /// One line with the number of cases and the first case of each violated rule; empty if no rule is
+  /// violated.
   std::string summary() const;
 
  private:
-  struct Place {
+  /// Where a task is.
+  struct Placement {
     std::string machine;
     std::string zone;
   };
-  struct FinalAnswer {
+  /// A reply with a final phase.
+  struct FinalReply {
     JobPhase phase = JobPhase::pending;
     Micros at{0};
   };
@@ -83,19 +96,20 @@
     JobSpec spec;
     bool cancel_requested = false;
     std::optional<Micros> accepted_at;
-    std::optional<FinalAnswer> final_answer;  ///< the first that called the job done or cancelled
-    std::optional<Micros> began_at;           ///< the first start of a task
-    Micros answered_at{0};
-    std::optional<Micros> unanswered_since;
-    int unanswered_polls = 0;
-    std::optional<Micros> neglected_since;
-    std::set<std::uint32_t> completed;
-    std::multimap<std::uint32_t, Place> places;  ///< by the task's index
+    std::optional<FinalReply> final_reply;  ///< the first reply with the phase done or cancelled
+    std::optional<Micros> first_start_at;   ///< of any of its tasks
+    Micros last_reply_at{0};
+    std::optional<Micros> unanswered_since;              ///< the first of the consecutive unanswered polls
+    int unanswered_polls = 0;                            ///< consecutive ones
+    std::optional<Micros> neglected_since;               ///< a task is pending although it could run
+    std::set<std::uint32_t> completed;                   ///< indices of tasks
+    std::multimap<std::uint32_t, Placement> placements;  ///< by the index of the task
 
-    bool answered_cancelled() const { return final_answer && final_answer->phase == JobPhase::cancelled; }
-    bool served() const;
+    bool is_reported_cancelled() const { return final_reply && final_reply->phase == JobPhase::cancelled; }
+    /// Whether all tasks of an array are completed, or any task of another job has started.
+    bool is_served() const;
   };
-  /// How many of a group of jobs were served.
+  /// The size of a group of jobs and how many of them were served.
   struct ServedCount {
     std::size_t jobs = 0;
     std::size_t served = 0;
@@ -103,16 +117,20 @@
   };
   using ServedCounts = std::map<std::string, ServedCount>;
 
-  void violation(const std::string& rule, const std::string& what) { violations_[rule].push_back(what); }
-  void check_phase(const std::string& id, Job& job, JobPhase phase, Micros asked_at, Micros now);
-  static bool is_wrong_place(const Job& job, const std::string& type, const std::string& zone, bool spot);
-  /// The largest fifth of the jobs of one class must not be starved.
-  void check_largest(const std::string& job_class, std::vector<const Job*> jobs, ServedCounts& counts);
+  void add_violation(const std::string& rule, const std::string& description) {
+    violations_[rule].push_back(description);
+  }
+  void check_phase(const std::string& id, Job& job, JobPhase phase, Micros sent_at, Micros now);
+  /// Whether one more task of the job on such a machine violates the constraints of the job.
+  static bool violates_constraints(const Job& job, const std::string& type, const std::string& zone,
+                                   bool spot);
+  /// Checks that the largest fifth of the jobs of one class is not starved.
+  void check_largest_jobs(const std::string& job_class, std::vector<const Job*> jobs, ServedCounts& counts);
 
   const Settings& settings_;
   std::map<std::string, Job> jobs_;
   std::map<std::string, Quota> used_;
-  std::size_t starts_ = 0;
+  std::size_t task_starts_ = 0;
   std::size_t starts_after_cancel_ = 0;
   std::set<std::string> invalid_jobs_;
   std::optional<Micros> settled_at_;
--- a/tests/sim/neglect_check.cpp
+++ b/tests/sim/neglect_check.cpp
@@ -4,14 +4,14 @@
 
 void NeglectCheck::repeat() {
   environment_.simulation.after(seconds(1), [this] { repeat(); });
-  if (!environment_.checker.settled()) return;
+  if (!environment_.checker.is_settled()) return;
   for (const auto& user : users_.all())
-    environment_.checker.set_could_run(user->job.id, could_run(*user), environment_.simulation.now());
+    environment_.checker.set_runnable(user->job.id, is_runnable(*user), environment_.simulation.now());
 }
 
-bool NeglectCheck::could_run(const User& user) const {
+bool NeglectCheck::is_runnable(const User& user) const {
   const JobSpec& job = user.job;
-  if (!user.accepted || !environment_.checker.has_waiting_tasks(job.id)) return false;
+  if (!user.accepted || !environment_.checker.has_pending_tasks(job.id)) return false;
   const Quota with_one_more = environment_.checker.used(job.team) + quota_of(job.each);
   return with_one_more.fits_in(environment_.settings.team(job.team)->limit) && has_machine_for(job);
 }
@@ -32,9 +32,10 @@
 
 bool NeglectCheck::allows_zone(const JobSpec& job, const std::string& zone,
                                const std::vector<std::string>& zones_of_tasks) {
-  const auto here = static_cast<std::size_t>(std::count(zones_of_tasks.begin(), zones_of_tasks.end(), zone));
-  if (job.one_zone && here < zones_of_tasks.size()) return false;
-  return !job.spread || here < (job.tasks + 1) / 2;
+  const auto in_zone =
+      static_cast<std::size_t>(std::count(zones_of_tasks.begin(), zones_of_tasks.end(), zone));
+  if (job.one_zone && in_zone < zones_of_tasks.size()) return false;
+  return !job.spread || in_zone < (job.tasks + 1) / 2;
 }
 
 }  // namespace bendtide::sim
--- a/tests/sim/neglect_check.h
+++ b/tests/sim/neglect_check.h
@@ -1,4 +1,4 @@
-// Finds jobs that wait although a machine could run them.
+// Finds jobs with pending tasks that a machine could run.
 #pragma once
 
 #include "sim/environment.h"
@@ -12,15 +12,18 @@
   NeglectCheck(Environment& environment, const SimulatedMachines& machines, const SimulatedUsers& users)
       : environment_(environment), machines_(machines), users_(users) {}
 
-  /// Tells the checker, every second once all faults are over, which jobs wait although their team is under
-  /// its limit and a machine that fits them has free resources.
+  /// Runs the check, and schedules it again every second. Once all faults are over, it tells the checker
+  /// which jobs have a pending task although their team is below its limit and a machine has free resources
+  /// for it.
   void repeat();
 
  private:
-  bool could_run(const User& user) const;
+  bool is_runnable(const User& user) const;
+  /// Whether a machine can take one more task of the job.
   bool has_machine_for(const JobSpec& job) const;
+  /// Whether the machine is healthy, is allowed for the job and has the resources of one task free.
   static bool fits(const JobSpec& job, const SimulatedCloud::Machine& machine);
-  /// Whether the job's rule of zones allows one more task in that zone.
+  /// Whether the constraints of the job on zones allow one more task in `zone`.
   static bool allows_zone(const JobSpec& job, const std::string& zone,
                           const std::vector<std::string>& zones_of_tasks);
 
