--- a/tests/sim/evidence.cpp
+++ b/tests/sim/evidence.cpp
@@ -9,7 +9,7 @@
     case Evidence::scheduled_fault_injected:
       return "scheduled fault injected";
     case Evidence::message_held:
-      return "message held by a cut";
+      return "message held by a link cut";
     case Evidence::shard_acquired:
       return "shard acquired";
     case Evidence::worker_lease_expired:
@@ -23,13 +23,13 @@
     case Evidence::team_at_limit:
       return "team at its limit";
     case Evidence::cancelled_during_cut:
-      return "cancelled during a cut";
+      return "cancelled during a link cut";
     case Evidence::cancelled_during_store_refusal:
-      return "cancelled during a store refusal";
+      return "cancelled while the store refused requests";
     case Evidence::cancelled_together:
-      return "cancelled together";
+      return "jobs cancelled together";
     case Evidence::machine_hung_at_cancellation:
-      return "machine hung at a cancellation";
+      return "machine hung during a cancellation";
     case Evidence::zone_bound_task_lost:
       return "zone-bound task lost";
     case Evidence::transaction_executed_late:
@@ -37,11 +37,11 @@
     case Evidence::store_response_delayed:
       return "store response delayed";
     case Evidence::job_end_raced:
-      return "job end raced";
+      return "requests raced the end of a job";
     case Evidence::job_polled_at_acceptance:
-      return "job polled at its acceptance";
+      return "job polled on acceptance";
     case Evidence::job_cancelled_at_acceptance:
-      return "job cancelled at its acceptance";
+      return "job cancelled on acceptance";
     case Evidence::error_logged:
       return "error logged";
     case Evidence::count:
--- a/tests/sim/evidence.h
+++ b/tests/sim/evidence.h
@@ -1,4 +1,4 @@
-// Counters of what happened in a simulated cluster, by which a test shows that its scenario took place.
+// Counters of events in a simulated cluster. Tests use them to check that their scenario really took place.
 #pragma once
 
 #include <array>
@@ -12,21 +12,21 @@
 
 enum class Evidence : std::uint8_t {
   scheduled_fault_injected,
-  message_held,               ///< by a cut, which delivers it at its end
+  message_held,               ///< sent over a cut link, and delivered when the cut ends
   shard_acquired,             ///< by a controller
-  worker_lease_expired,       ///< of a machine with tasks, as a controller found
-  machine_found_unreachable,  ///< by a controller: its heartbeats arrive, but it executes no commands
+  worker_lease_expired,       ///< of a machine with tasks, as logged by a controller
+  machine_found_unreachable,  ///< by a controller: its heartbeats arrive, but it acknowledges no commands
   heartbeat_duplicated,
-  heartbeat_lost,  ///< sent by a machine that reaches no controller
+  heartbeat_lost,  ///< sent by a machine that cannot reach any controller
   team_at_limit,
-  cancelled_during_cut,            ///< while some link was cut
-  cancelled_during_store_refusal,  ///< while the key-value store refused a controller
-  cancelled_together,              ///< several jobs within a fraction of a second
+  cancelled_during_cut,            ///< while at least one link was cut
+  cancelled_during_store_refusal,  ///< while the key-value store refused the requests of a controller
+  cancelled_together,              ///< one of several jobs cancelled within a fraction of a second
   machine_hung_at_cancellation,
-  zone_bound_task_lost,  ///< with its machine
+  zone_bound_task_lost,  ///< its machine failed
   transaction_executed_late,
   store_response_delayed,
-  job_end_raced,  ///< users acted while the last task of a job ended
+  job_end_raced,  ///< a user sent requests while the last task of a job ended
   job_polled_at_acceptance,
   job_cancelled_at_acceptance,
   error_logged,
@@ -34,13 +34,13 @@
 };
 
 const char* to_text(Evidence evidence);
-/// For messages of failed tests.
+/// Lets GoogleTest print the name.
 std::ostream& operator<<(std::ostream& out, Evidence evidence);
 
 class EvidenceCounters {
  public:
   void add(Evidence evidence) { ++counters_.at(static_cast<std::size_t>(evidence)); }
-  /// Counts the events that only the log of a controller shows.
+  /// Counts events that can be observed only in the log of a controller.
   void add_from_log(const LogLine& line);
   std::size_t count(Evidence evidence) const { return counters_.at(static_cast<std::size_t>(evidence)); }
 
