--- a/tests/sim/fault_injector.cpp
+++ b/tests/sim/fault_injector.cpp
@@ -8,8 +8,10 @@
 
 namespace {
 
-constexpr Micros kSettlesWithin = seconds(35);  ///< the longest fault under way when the last one is injected
-constexpr int kCancelledTogether = 4;
+/// The time until the checker is told that all faults are over. Longer than any fault drawn at random, so
+/// that one injected last has ended.
+constexpr Micros kSettleDelay = seconds(35);
+constexpr int kJobsCancelledTogether = 4;
 
 }  // namespace
 
@@ -50,41 +52,42 @@
   return all;
 }
 
-// ---- when ----------------------------------------------------------------------------------------
+// ---- schedule ------------------------------------------------------------------------------------
 
 void FaultInjector::start() {
   const FaultScenario& scenario = environment_.scenario;
   Simulation& simulation = environment_.simulation;
   for (const ScheduledFault& fault : scenario.faults)
-    simulation.at(fault.at, [this, &fault] { inject(planned(fault)); });
+    simulation.at(fault.at, [this, &fault] { inject(scheduled_injection(fault)); });
   if (!scenario.faults.empty())
-    simulation.at(scenario.faults_until, [this] { settle(); });
+    simulation.at(scenario.faults_until, [this] { end_machine_faults(); });
   else if (scenario.inject_faults)
-    simulation.at(scenario.faults_from, [this] { inject_at_random(); });
+    simulation.at(scenario.faults_from, [this] { inject_random_fault(); });
   else
     environment_.checker.set_settled(simulation.now());
 }
 
-void FaultInjector::inject_at_random() {
+void FaultInjector::inject_random_fault() {
   Simulation& simulation = environment_.simulation;
-  if (simulation.now() > environment_.scenario.faults_until) return settle();
+  if (simulation.now() > environment_.scenario.faults_until) return end_machine_faults();
   const FaultKind kind = draw_kind();
-  inject(draw(kind));
-  simulation.after(seconds(1 + simulation.chance() * 14), [this] { inject_at_random(); });
+  inject(draw_injection(kind));
+  simulation.after(seconds(1 + simulation.chance() * 14), [this] { inject_random_fault(); });
 }
 
 FaultKind FaultInjector::draw_kind() {
   const FaultScenario& scenario = environment_.scenario;
   if (!scenario.kinds.empty()) return environment_.simulation.pick_from(scenario.kinds);
-  // Kinds that were added later are drawn only where they are listed: scenarios kept as tests stay the same.
+  // Kinds that were added later are drawn only if the scenario lists them, so that the seeds of existing
+  // tests keep producing the same faults.
   const FaultKind first_not_drawn =
       scenario.extended ? FaultKind::late_transactions : FaultKind::controller_pauses;
   return static_cast<FaultKind>(environment_.simulation.pick(static_cast<int>(first_not_drawn)));
 }
 
-FaultInjector::Injection FaultInjector::draw(FaultKind kind) {
+FaultInjector::Injection FaultInjector::draw_injection(FaultKind kind) {
   Simulation& simulation = environment_.simulation;
-  Injection injection{kind, false, nullptr, false, Micros{0}, kCancelledTogether, {}};
+  Injection injection{kind, false, nullptr, false, Micros{0}, kJobsCancelledTogether, {}};
   injection.controller = &controllers_.random_host();
   injection.hold = simulation.chance() < 0.5;
   injection.duration = seconds(3 + simulation.chance() * 30);
@@ -92,7 +95,7 @@
   return injection;
 }
 
-FaultInjector::Injection FaultInjector::planned(const ScheduledFault& fault) {
+FaultInjector::Injection FaultInjector::scheduled_injection(const ScheduledFault& fault) {
   environment_.evidence.add(Evidence::scheduled_fault_injected);
   ControllerHost& controller = fault.controller == kBusiestController
                                    ? controllers_.busiest()
@@ -103,17 +106,18 @@
 
 void FaultInjector::inject(const Injection& injection) {
   if (environment_.scenario.verbose)
-    std::printf("%9.3f ---- fault %d at %s or %s for %.1f s\n", in_seconds(environment_.simulation.now()),
-                static_cast<int>(injection.kind), injection.controller->name.c_str(),
+    std::printf("%9.3f ---- fault=%d controller=%s first_machine=%s duration_s=%.1f\n",
+                in_seconds(environment_.simulation.now()), static_cast<int>(injection.kind),
+                injection.controller->name.c_str(),
                 injection.machines.empty() ? "" : injection.machines.front().c_str(),
                 in_seconds(injection.duration));
   const auto kind = std::find_if(kinds().begin(), kinds().end(),
                                  [&](const Kind& row) { return row.kind == injection.kind; });
-  if (kind == kinds().end()) throw std::logic_error("a kind of fault that can't be injected");
+  if (kind == kinds().end()) throw std::logic_error("fault kind has no function that injects it");
   (this->*kind->inject)(injection);
 }
 
-void FaultInjector::settle() {
+void FaultInjector::end_machine_faults() {
   for (auto& [name, machine] : machines_.cloud().machines()) {
     if (!machine.worker) continue;
     machine.worker->fails_tasks = false;
@@ -121,7 +125,7 @@
     machine.worker->unreachable_outbound = false;
     if (!environment_.scenario.unreachable_for_good) machine.worker->unreachable_inbound = false;
   }
-  environment_.simulation.after(kSettlesWithin,
+  environment_.simulation.after(kSettleDelay,
                                 [this] { environment_.checker.set_settled(environment_.simulation.now()); });
 }
 
@@ -130,9 +134,8 @@
   return seconds(min_seconds + environment_.simulation.chance() * (max_seconds - min_seconds));
 }
 
-// ---- controllers ---------------------------------------------------------------------------------
+// ---- controllers --------------------------------------------------------------------------------
 
-/// Within a fraction of a second, or after a while.
 Micros FaultInjector::restart_delay(const Injection& injection) {
   Simulation& simulation = environment_.simulation;
   if (injection.scheduled) return injection.duration;
@@ -168,7 +171,7 @@
   for (auto& host : controllers_.hosts()) cut_peers(*host, injection);
 }
 
-// ---- the key-value store and the cloud -----------------------------------------------------------
+// ---- the key-value store and the cloud ----------------------------------------------------------
 
 void FaultInjector::cut_from_store(const Injection& injection) {
   network_.cut(injection.controller->name, kStoreAddress, injection.hold, injection.duration);
@@ -218,7 +221,7 @@
   environment_.simulation.after(injection.duration, [this] { machines_.cloud().set_outage(false); });
 }
 
-// ---- users ---------------------------------------------------------------------------------------
+// ---- users --------------------------------------------------------------------------------------
 
 void FaultInjector::cancel_together(const Injection& injection) {
   if (injection.duration > Micros{0}) {
--- a/tests/sim/fault_injector.h
+++ b/tests/sim/fault_injector.h
@@ -25,16 +25,17 @@
   void start();
 
  private:
-  /// What a fault is injected with.
+  /// One fault and its parameters.
   struct Injection {
     FaultKind kind;
-    bool scheduled;  ///< otherwise, some kinds draw their duration themselves
+    bool scheduled;  ///< by the scenario; if false, some kinds draw a duration of their own
     ControllerHost* controller;
-    bool hold;
+    bool hold;  ///< a cut holds what is sent, and delivers it at its end
     Micros duration;
-    int count;
-    std::vector<std::string> machines;
+    int count;                          ///< of jobs or machines
+    std::vector<std::string> machines;  ///< names
   };
+  /// A kind of fault and the function that injects it.
   struct Kind {
     FaultKind kind;
     void (FaultInjector::*inject)(const Injection&);
@@ -42,13 +43,15 @@
   /// In the order of FaultKind.
   static const std::vector<Kind>& kinds();
 
-  void inject_at_random();
+  /// Injects a fault drawn at random, and schedules the next one.
+  void inject_random_fault();
   FaultKind draw_kind();
-  Injection draw(FaultKind kind);
-  Injection planned(const ScheduledFault& fault);
+  /// Draws the parameters of a fault at random.
+  Injection draw_injection(FaultKind kind);
+  Injection scheduled_injection(const ScheduledFault& fault);
   void inject(const Injection& injection);
-  /// Ends faults of machines; the others end by themselves.
-  void settle();
+  /// Ends the faults of machines. Faults of other kinds end after their duration.
+  void end_machine_faults();
 
   // Controllers.
   void crash_controller(const Injection& injection);
@@ -84,15 +87,18 @@
   void cancel_together(const Injection& injection);
   void race_job_ends(const Injection& injection);
 
-  /// The duration of a scheduled fault; that of others is drawn between the two.
+  /// Returns the duration of a scheduled fault, or draws one between the two bounds.
   Micros duration_of(const Injection& injection, double min_seconds, double max_seconds);
+  /// The time until a crashed controller restarts: a fraction of a second or some seconds if it is drawn.
   Micros restart_delay(const Injection& injection);
+  /// Cuts a controller from all machines of a zone that are up; from those of every zone if `zone` is empty.
   void cut_workers(const ControllerHost& host, const std::string& zone, const Injection& injection);
   void cut_peers(const ControllerHost& host, const Injection& injection);
   void hang(const std::vector<std::string>& machines, Micros duration);
-  /// Sets a flag of the workers of machines that exist.
-  void set_on(const std::vector<std::string>& machines, bool SimulatedWorker::*flag, bool value);
-  void count_zone_bound_tasks(const std::string& machine);
+  /// Sets a flag of the workers on those of the machines that exist.
+  void set_worker_flag(const std::vector<std::string>& machines, bool SimulatedWorker::*flag, bool value);
+  /// Counts the jobs with constraints on zones that have a task on the machine.
+  void count_zone_bound_jobs(const std::string& machine);
 
   Environment& environment_;
   SimulatedMachines& machines_;
--- a/tests/sim/fault_injector_machines.cpp
+++ b/tests/sim/fault_injector_machines.cpp
@@ -1,11 +1,11 @@
-// Faults of machines and of the ways to them.
+// Faults of machines and of the network links to them.
 
 #include "sim/fault_injector.h"
 
 namespace bendtide::sim {
 
-void FaultInjector::set_on(const std::vector<std::string>& machines, bool SimulatedWorker::*flag,
-                           bool value) {
+void FaultInjector::set_worker_flag(const std::vector<std::string>& machines, bool SimulatedWorker::*flag,
+                                    bool value) {
   for (const std::string& name : machines) {
     const auto machine = machines_.cloud().machines().find(name);
     if (machine != machines_.cloud().machines().end() && machine->second.worker)
@@ -13,7 +13,7 @@
   }
 }
 
-// ---- the ways to machines ------------------------------------------------------------------------
+// ---- network links to machines ------------------------------------------------------------------
 
 void FaultInjector::cut_workers(const ControllerHost& host, const std::string& zone,
                                 const Injection& injection) {
@@ -49,42 +49,42 @@
 }
 
 void FaultInjector::make_unreachable_inbound(const Injection& injection) {
-  set_on(injection.machines, &SimulatedWorker::unreachable_inbound, true);
-  // Where the fault is drawn at random, they stay so until all faults end.
+  set_worker_flag(injection.machines, &SimulatedWorker::unreachable_inbound, true);
+  // If the fault was drawn at random, the machines stay unreachable until all faults end.
   if (!injection.scheduled) return;
   environment_.simulation.after(injection.duration, [this, machines = injection.machines] {
-    set_on(machines, &SimulatedWorker::unreachable_inbound, false);
+    set_worker_flag(machines, &SimulatedWorker::unreachable_inbound, false);
   });
 }
 
 void FaultInjector::make_unreachable_outbound(const Injection& injection) {
-  set_on(injection.machines, &SimulatedWorker::unreachable_outbound, true);
+  set_worker_flag(injection.machines, &SimulatedWorker::unreachable_outbound, true);
   environment_.simulation.after(injection.duration, [this, machines = injection.machines] {
-    set_on(machines, &SimulatedWorker::unreachable_outbound, false);
+    set_worker_flag(machines, &SimulatedWorker::unreachable_outbound, false);
   });
 }
 
-// ---- the machines themselves ---------------------------------------------------------------------
+// ---- machines -----------------------------------------------------------------------------------
 
 void FaultInjector::kill_machines(const Injection& injection) {
   for (const std::string& name : injection.machines) {
     const auto machine = machines_.cloud().machines().find(name);
     if (machine == machines_.cloud().machines().end() || !machine->second.worker) continue;
-    count_zone_bound_tasks(name);
+    count_zone_bound_jobs(name);
     SimulatedCloud::kill(machine->second);
   }
 }
 
-void FaultInjector::count_zone_bound_tasks(const std::string& machine) {
+void FaultInjector::count_zone_bound_jobs(const std::string& machine) {
   for (const auto& [id, job] : environment_.jobs)
     if ((job.zone || job.one_zone) && environment_.checker.is_running_on(id, machine))
       environment_.evidence.add(Evidence::zone_bound_task_lost);
 }
 
 void FaultInjector::hang(const std::vector<std::string>& machines, Micros duration) {
-  set_on(machines, &SimulatedWorker::hanging, true);
-  environment_.simulation.after(duration,
-                                [this, machines] { set_on(machines, &SimulatedWorker::hanging, false); });
+  set_worker_flag(machines, &SimulatedWorker::hanging, true);
+  environment_.simulation.after(
+      duration, [this, machines] { set_worker_flag(machines, &SimulatedWorker::hanging, false); });
 }
 
 void FaultInjector::hang_machines(const Injection& injection) {
@@ -96,7 +96,7 @@
 }
 
 void FaultInjector::fail_tasks(const Injection& injection) {
-  set_on(injection.machines, &SimulatedWorker::fails_tasks, true);
+  set_worker_flag(injection.machines, &SimulatedWorker::fails_tasks, true);
 }
 
 void FaultInjector::restart_workers(const Injection& injection) {
