--- a/tests/sim/fault_scenario.h
+++ b/tests/sim/fault_scenario.h
@@ -1,4 +1,4 @@
-// What a run of the simulated cluster is made of: its seed, its users' jobs and the faults injected into it.
+// The parameters of a run of the simulated cluster: the seed, the jobs of users and the injected faults.
 #pragma once
 
 #include <cstdint>
@@ -8,27 +8,28 @@
 
 namespace bendtide::sim {
 
-/// A defect planted in what passes between the controllers and the others, to show that a check finds it.
+/// A defect planted in the messages that controllers exchange with workers and users, or in the settings of
+/// controllers. Tests plant them to show that the checker finds each of them.
 enum class PlantedDefect : std::uint8_t {
   none,
-  start_twice,       ///< a start command goes to a second machine as well
-  ignore_quota,      ///< every limit that the controllers know of is ten times the real one
-  start_anywhere,    ///< a start command for a zone-bound job goes to the other zone as well
-  keep_cancelled,    ///< stop commands are lost
-  deny_jobs,         ///< polls for accepted jobs are answered 404
-  confirm_anything,  ///< polls for unknown jobs are answered 200
-  call_done_early,   ///< running jobs are called done
-  take_back,         ///< jobs that are done are called running
-  start_nothing,     ///< start commands are lost
-  starve_team,       ///< start commands for one team's jobs are lost
-  starve_large,      ///< start commands for large jobs are lost
-  ignore_one,        ///< polls for one job get no answer
-  start_cancelled,   ///< where a task is commanded to stop, it is started once more
-  accept_unfit       ///< submissions that can never run are called accepted
+  start_twice,       ///< every start command is also executed on a second machine
+  ignore_quota,      ///< controllers are configured with ten times the real CPU limit of every team
+  start_anywhere,    ///< every start command for a zone-bound job is also executed in another zone
+  keep_cancelled,    ///< stop commands are dropped
+  deny_jobs,         ///< polls for accepted jobs get status 404
+  confirm_anything,  ///< polls for unknown jobs get status 200
+  call_done_early,   ///< running jobs are reported as done
+  take_back,         ///< jobs that were reported as done are reported as running again
+  start_nothing,     ///< start commands are dropped
+  starve_team,       ///< start commands for the jobs of one team are dropped
+  starve_large,      ///< start commands for large jobs are dropped
+  ignore_one,        ///< polls for one job get no reply
+  start_cancelled,   ///< every stop command is followed by a start command for the same task
+  accept_unfit       ///< submissions of jobs that can never run are confirmed
 };
 
-/// The order matters: scenarios draw kinds by number, and those that were kept as tests have to draw the
-/// same.
+/// New kinds are added at the end: scenarios draw kinds by number, and the seeds of existing tests must keep
+/// drawing the same ones.
 enum class FaultKind : std::uint8_t {
   controller_crashes,
   all_controllers_crash,
@@ -38,43 +39,44 @@
   store_and_peers_unreachable,  ///< for one controller, which still reaches its workers
   store_outage,
   store_slow,
-  store_link_flaps,  ///< of every controller
+  store_link_flaps,  ///< the link of every controller to the store, for a few seconds each
   machine_dies,
   machine_hangs,
   machine_fails_tasks,
   machine_partitioned,
-  machine_unreachable_inbound,  ///< its heartbeats arrive, but neither answers nor commands reach it
-  worker_restarts,              ///< at once, without its tasks
+  machine_unreachable_inbound,  ///< its heartbeats arrive, but neither replies nor commands reach it
+  worker_restarts,              ///< immediately, without its tasks
   cloud_outage,
-  west_workers_unreachable,  ///< for all controllers
-  peer_links_down,           ///< all of them
-  controller_pauses,         ///< perhaps between a decision and its sending, while its clock runs on
-  store_refuses,             ///< one controller, with 503
-  zone_partitioned,          ///< the west, with its controller, from everything else
-  machine_hangs_long,        ///< for less or for more than its lease
-  machines_boot_late,        ///< or never, for a while
-  late_transactions,         ///< a share gets no answer, and is executed 2 to 12 s later, after newer ones
-  late_heartbeats,           ///< copies of a share arrive from 2 s to well over a worker's lease later
-  machines_unreachable_outbound,  ///< they reach no controller, while commands reach them
-  cancel_together,       ///< users cancel several running jobs at once, whose machines hang meanwhile
-  race_job_ends,         ///< users cancel, poll and submit again while the last task of their job ends
-  late_store_responses,  ///< a share comes up to a second after the request was served
+  west_workers_unreachable,       ///< for all controllers
+  peer_links_down,                ///< all of them
+  controller_pauses,              ///< between a decision and its actions, while its clock runs on
+  store_refuses,                  ///< the requests of one controller, with status 503
+  zone_partitioned,               ///< zone west, with its controller, from everything else
+  machine_hangs_long,             ///< for less or more than the worker lease
+  machines_boot_late,             ///< or never, if they are created during the fault
+  late_transactions,              ///< some get no response and are executed 2 to 12 s later, after newer ones
+  late_heartbeats,                ///< copies of some arrive 2 s to more than a worker lease later
+  machines_unreachable_outbound,  ///< their heartbeats reach no controller, while commands reach them
+  cancel_together,       ///< users cancel several running jobs; the busiest machines hang for the duration
+  race_job_ends,         ///< users cancel, poll and resubmit a job while its last task ends
+  late_store_responses,  ///< some arrive up to a second after the request was executed
   count
 };
 
-/// In place of a controller's number: the one that leads shards with most machines.
+/// Stands for the controller whose shards have the most machines.
 constexpr int kBusiestController = -1;
 
-/// A fault at a set time; its parameters are not drawn.
+/// A fault at a fixed time and with fixed parameters.
 struct ScheduledFault {
   Micros at{0};
   FaultKind kind = FaultKind::controller_crashes;
-  Micros duration = seconds(10);  ///< for a crash: until the process is back
-  int controller = 0;             ///< for kinds that concern one controller; or kBusiestController
-  int count = 1;                  ///< machines, those with most tasks first; or jobs
-  bool hold = false;              ///< a cut holds what is sent and delivers it at its end
+  Micros duration = seconds(10);  ///< of a crash: until the process restarts
+  int controller = 0;             ///< index, or kBusiestController; for kinds that affect one controller
+  int count = 1;      ///< of affected machines, those with the most tasks first, or of affected jobs
+  bool hold = false;  ///< a cut holds what is sent, and delivers it at its end
 };
 
+/// The parameters of a run. The defaults inject random faults of the default set.
 struct FaultScenario {
   std::uint64_t seed = 1;
   PlantedDefect planted_defect = PlantedDefect::none;
@@ -84,28 +86,32 @@
   bool inject_faults = true;
   Micros faults_from = seconds(20);
   Micros faults_until = seconds(150);
-  std::vector<FaultKind> kinds;        ///< that are drawn from; none: all
-  std::vector<ScheduledFault> faults;  ///< if there are any, no others are injected
-  /// Draws from the extended set of kinds, has a controller in each zone and duplicates store requests.
-  /// Scenarios that were kept as tests before there was any of this are played without.
+  std::vector<FaultKind> kinds;        ///< the kinds to draw from; if empty, the default set
+  std::vector<ScheduledFault> faults;  ///< if not empty, no faults are drawn at random
+  /// Draws from the extended set of kinds, has a controller in each zone and duplicates store requests. False
+  /// in scenarios of older tests, so that their seeds keep producing the same runs.
   bool extended = true;
-  bool unreachable_for_good = false;  ///< machines that became unreachable inbound stay so
+  bool unreachable_for_good = false;  ///< machines that became unreachable inbound stay so to the end
 
   // Users.
   int jobs = 24;
-  bool submit_at_once = false;    ///< all jobs are submitted within a second
-  bool impatient_users = false;   ///< small jobs; polled everywhere, resubmitted and cancelled at acceptance
-  bool zone_bound = false;        ///< every array has a rule of zones
-  bool long_tasks = false;        ///< of a minute or two, in arrays of a few tasks and more
-  bool invalid_requests = false;  ///< users also submit what can never run
-  bool operators_poll = false;    ///< operators read every page of the administration API now and then
+  bool submit_at_once = false;  ///< all jobs are submitted within a second
+  /// Jobs are small. As soon as a user receives the reply that a job is accepted, it polls all controllers,
+  /// resubmits the job and maybe cancels it.
+  bool impatient_users = false;
+  bool zone_bound = false;        ///< every array has a constraint on zones
+  bool long_tasks = false;        ///< of one or two minutes, in arrays of at least a few tasks
+  bool invalid_requests = false;  ///< users also submit jobs that can never run
+  bool operators_poll = false;    ///< operators regularly read every page of the administration API
 
   // Settings.
-  bool tight_limits = false;        ///< teams are at their limit for most of the run
-  bool slow_heartbeats = false;     ///< so that an unreachable machine is heard before it counts as silent
-  bool small_store_limits = false;  ///< the key-value store takes little at once
+  bool tight_limits = false;  ///< low limits, which teams reach for most of the run
+  /// Longer heartbeat interval and worker lease, so that controllers receive a heartbeat of a machine that is
+  /// unreachable inbound before they count it as silent.
+  bool slow_heartbeats = false;
+  bool small_store_limits = false;  ///< small values and transactions in the key-value store
 
-  bool verbose = false;  ///< prints the controllers' logs and the faults
+  bool verbose = false;  ///< prints the logs of the controllers and the faults
 };
 
 /// The settings of the controllers in a scenario.
