--- a/tests/sim/planted_defects.cpp
+++ b/tests/sim/planted_defects.cpp
@@ -7,29 +7,30 @@
 
 namespace {
 
-constexpr int kLimitFactor = 10;
-constexpr std::uint32_t kLargeJob = 16;              ///< tasks
-constexpr std::uint64_t kUnusedNumbers = 1'000'000;  ///< above all real attempts and fencing tokens
+constexpr int kCpuLimitFactor = 10;
+constexpr std::uint32_t kMinTasksOfLargeJob = 17;
+/// Added to attempts and fencing tokens, to get numbers above all those in use.
+constexpr std::uint64_t kUnusedNumberOffset = 1'000'000;
 
 }  // namespace
 
 Settings PlantedDefects::controller_settings(Settings settings) const {
   if (planted_ == PlantedDefect::ignore_quota)
-    for (Team& team : settings.teams) team.limit.cpu *= kLimitFactor;
+    for (Team& team : settings.teams) team.limit.cpu *= kCpuLimitFactor;
   return settings;
 }
 
-bool PlantedDefects::loses_start(const Command& command) const {
+bool PlantedDefects::drops_start(const Command& command) const {
   const JobSpec& job = jobs_.at(command.task.job);
   return planted_ == PlantedDefect::start_nothing ||
          (planted_ == PlantedDefect::starve_team && job.team == "green") ||
-         (planted_ == PlantedDefect::starve_large && job.tasks > kLargeJob);
+         (planted_ == PlantedDefect::starve_large && job.tasks >= kMinTasksOfLargeJob);
 }
 
 std::vector<Command> PlantedDefects::delivered(std::vector<Command> commands) const {
   std::erase_if(commands, [this](const Command& command) {
     if (command.kind == Command::Kind::stop) return planted_ == PlantedDefect::keep_cancelled;
-    return command.kind == Command::Kind::start && loses_start(command);
+    return command.kind == Command::Kind::start && drops_start(command);
   });
   return commands;
 }
@@ -39,11 +40,11 @@
   if (planted_ != PlantedDefect::start_cancelled) return added;
   for (const Command& command : commands)
     if (command.kind == Command::Kind::stop)
-      added.push_back({Command::Kind::start, command.task, command.attempt + kUnusedNumbers, {}});
+      added.push_back({Command::Kind::start, command.task, command.attempt + kUnusedNumberOffset, {}});
   return added;
 }
 
-bool PlantedDefects::starts_on(const SimulatedCloud::Machine& machine, const Command& command) const {
+bool PlantedDefects::also_starts_on(const SimulatedCloud::Machine& machine, const Command& command) const {
   const JobSpec& job = jobs_.at(command.task.job);
   return planted_ == PlantedDefect::start_twice || (job.zone && *job.zone != machine.zone);
 }
@@ -54,9 +55,10 @@
   for (const Command& command : reply.commands) {
     if (command.kind != Command::Kind::start) continue;
     for (auto& [name, other] : cloud.machines()) {
-      if (name == machine || !other.is_up() || !starts_on(other, command)) continue;
-      // The worker has to accept the command: a fencing token above its own, and its first incarnation.
-      const CommandRequest request{name, 1, reply.fencing_token.value() + kUnusedNumbers, {command}};
+      if (name == machine || !other.is_up() || !also_starts_on(other, command)) continue;
+      // For the worker to accept the command, the fencing token must be above its own and the incarnation
+      // must be its own, which is 1 unless it restarted.
+      const CommandRequest request{name, 1, reply.fencing_token.value() + kUnusedNumberOffset, {command}};
       other.worker->handle_commands(wire::request_of(request).body, now);
       break;
     }
