--- a/tests/sim/held_shard.h
+++ b/tests/sim/held_shard.h
@@ -1,4 +1,5 @@
-// One shard of one controller, without a cluster around it: a test feeds it events, and checks its actions.
+// One shard of one controller, without a cluster: a test passes events to it and checks the resulting
+// actions.
 #pragma once
 
 #include "core/jobs/jobs.h"
@@ -8,7 +9,8 @@
 
 inline const TaskId kTask{"run-1", 0};
 
-/// A shard acquired a moment ago with fencing token 10, whose one machine was in use under an earlier leader.
+/// A shard that was just acquired with fencing token 10. Its only machine, "m", belonged to it under an
+/// earlier leader.
 struct HeldShard {
   static Settings settings() {
     Settings settings;
@@ -42,6 +44,7 @@
     fleet.on_shard_ready(shard);
     fleet.push_commands(shard);
   }
+  /// Loads a job with one task, kTask.
   Job& add_job() {
     records::LiveJob record;
     record.shard = "a";
@@ -52,14 +55,15 @@
     return Jobs::load(shard, record);
   }
   Machine& machine() { return shard.machines.at("m"); }
+  /// A heartbeat of the machine, with attempt 7 of kTask running on it if `with_task`.
   Heartbeat heartbeat(std::uint64_t fencing_token, std::uint64_t incarnation, std::uint64_t sequence_number,
                       bool with_task) const {
     Heartbeat heartbeat{"m", "m:1", "small", "z", false, incarnation, sequence_number, fencing_token, {}, {}};
     if (with_task) heartbeat.tasks = {{kTask, 7, TaskPhase::running, ExitCause::none}};
     return heartbeat;
   }
-  /// Calls `event` at a moment of the steady clock, in seconds; returns the actions of one kind that it led
-  /// to.
+  /// Sets the steady clock to `moment`, in seconds, and calls `event`. Returns the resulting actions of one
+  /// kind.
   template <class Kind>
   std::vector<Kind> at(double moment, const std::function<void()>& event) {
     context.now = seconds(moment);
@@ -70,7 +74,7 @@
       if (auto* of_kind = std::get_if<Kind>(&action)) actions.push_back(*of_kind);
     return actions;
   }
-  /// The response to a command request comes, and commands that it calls for are pushed.
+  /// Delivers the response to a command request, then pushes the commands that it gives rise to.
   void on_response(double moment, std::uint64_t call, CommandResponse::Outcome outcome,
                    const Heartbeat& status) {
     at<LogLine>(moment, [&] {
--- a/tests/sim/jobs_fixture.h
+++ b/tests/sim/jobs_fixture.h
@@ -1,5 +1,5 @@
-// The jobs of one controller that leads one shard. Tests make the requests of users, and give the responses
-// of the key-value store and the replies of peers by hand: in any order, and as late as they like.
+// The jobs of one controller that leads one shard. A test makes the requests of users, and passes in each
+// response of the key-value store and each reply of a peer itself, so it controls their order and delay.
 #pragma once
 
 #include "sim/held_shard.h"
@@ -8,16 +8,16 @@
 
 struct JobsFixture : HeldShard {
   Jobs jobs{state, {[](Shard&) {}, [] {}}};
-  std::vector<StoreCall> calls;    ///< to the key-value store
-  std::vector<JobQuery> queries;   ///< to peers
-  std::vector<UserReply> replies;  ///< to users
+  std::vector<StoreCall> calls;    ///< made to the key-value store
+  std::vector<JobQuery> queries;   ///< sent to peers
+  std::vector<UserReply> replies;  ///< sent to users
 
   JobsFixture() {
     context.settings.teams = {{"t", {8000, 0}, {8000, 0}}};
     state.catalogue = {{"small", {8000, 0, 64000}, 50, 1, 1, 1, seconds(10), {"z"}}};
     state.routes["a"] = {"a", "life", 10, Micros{0}, true};
   }
-  /// A peer that is reachable now.
+  /// Adds a peer that is reachable now.
   void add_peer(const std::string& host) {
     context.settings.peers.push_back({host, "z", host + ":1"});
     state.peers[host].heard_at = context.now;
@@ -30,7 +30,7 @@
     out.each = {1000, 0, 1};
     return out;
   }
-  /// Makes an event happen, and collects the calls, queries and replies that it leads to.
+  /// Calls `event`, and collects the resulting calls, queries and replies.
   void collect(const std::function<void()>& event) {
     context.actions.clear();
     event();
@@ -47,6 +47,7 @@
   void cancel() {
     collect([&] { jobs.on_cancel(next_request++, kTask.job); });
   }
+  /// Polls the job `times` times within one event.
   void poll(int times) {
     collect([&] {
       for (int i = 0; i < times; ++i) jobs.on_poll(next_request++, kTask.job);
@@ -55,17 +56,19 @@
   void tick() {
     collect([&] { jobs.tick(); });
   }
-  /// The key-value store responds to one of the calls.
+  /// Delivers a response of the key-value store to the call at index `call` of `calls`.
   void answer(std::size_t call, const StoreResponse& with) {
     collect([&] { state.store.on_response(calls.at(call).call, with); });
   }
-  /// The key-value store responds to the call made last.
+  /// Delivers a response of the key-value store to the most recent call.
   void answer_last(const StoreResponse& with) { answer(calls.size() - 1, with); }
+  /// The transaction that the call at index `call` of `calls` commits.
   const Transaction& commit(std::size_t call) const { return std::get<Transaction>(calls.at(call).request); }
 
   std::uint64_t next_request = 1;
 };
 
+/// The response to a successful write.
 inline StoreResponse written(std::uint64_t revision) {
   StoreResponse response;
   response.outcome = StoreResponse::Outcome::ok;
@@ -73,12 +76,14 @@
   return response;
 }
 
+/// The response to a read of a key that does not exist.
 inline StoreResponse absent() {
   StoreResponse response;
   response.outcome = StoreResponse::Outcome::absent;
   return response;
 }
 
+/// The response to a read of a key that exists.
 inline StoreResponse found(const std::string& key, Value value, std::uint64_t revision) {
   StoreResponse response;
   response.outcome = StoreResponse::Outcome::ok;
@@ -86,7 +91,7 @@
   return response;
 }
 
-/// The record of the fixture's job as an unfinished job of `shard`.
+/// The response to a read of the record of kTask's job, as an unfinished job of `shard`.
 inline StoreResponse live_record(const std::string& shard = "a") {
   const records::LiveJob record{shard, JobsFixture::spec(), seconds(1'000'000)};
   return found(records::live_key(kTask.job), records::to_json(record), 20);
