--- a/tests/sim/response.h
+++ b/tests/sim/response.h
@@ -1,4 +1,4 @@
-// The answer of a simulated HTTP server.
+// The response of a simulated HTTP server.
 #pragma once
 
 #include <string>
