--- a/tests/sim/action_digest.cpp
+++ b/tests/sim/action_digest.cpp
@@ -16,7 +16,7 @@
   return {request.method, request.target, request.body};
 }
 
-/// The encoded fields of an action, as they are sent; empty for a log line.
+/// Returns the encoded fields of an action as they are sent; none for a log line.
 struct Encoder {
   const std::string& host;
 
