--- a/tests/sim/heartbeat_exchange.cpp
+++ b/tests/sim/heartbeat_exchange.cpp
@@ -6,11 +6,13 @@
 
 namespace {
 
-constexpr Micros kPatience = seconds(4);
-constexpr Micros kNoRouteAfter = millis(500);
-constexpr double kShareOfLateCopies = 0.4;
-constexpr double kLatestCopy = 1.6;  ///< worker leases after the least delay
+constexpr Micros kReplyTimeout = seconds(4);
+/// The time until a worker that cannot reach any controller sees its heartbeat fail.
+constexpr Micros kNoRouteErrorDelay = millis(500);
+constexpr double kLateCopyProbability = 0.4;
 constexpr Micros kMinCopyDelay = seconds(2);
+/// The largest addition to kMinCopyDelay, in worker leases.
+constexpr double kMaxExtraCopyDelayInLeases = 1.6;
 
 }  // namespace
 
@@ -25,9 +27,9 @@
   send_copies(body);
   if (worker.unreachable_outbound) {
     environment_.evidence.add(Evidence::heartbeat_lost);
-    return simulation.after(kNoRouteAfter, [this, heartbeat] { fail(heartbeat); });
+    return simulation.after(kNoRouteErrorDelay, [this, heartbeat] { fail(heartbeat); });
   }
-  simulation.after(kPatience, [this, heartbeat] { fail(heartbeat); });
+  simulation.after(kReplyTimeout, [this, heartbeat] { fail(heartbeat); });
   if (ControllerHost* host = controllers_.find(target))
     network_.send(machine.name, target, [this, host, heartbeat] { receive(*host, heartbeat); });
 }
@@ -35,13 +37,14 @@
 void HeartbeatExchange::send_copies(const std::string& body) {
   Simulation& simulation = environment_.simulation;
   network_.duplicate_sometimes([this, body] { deliver_copy(body); });
-  const bool copied = simulation.now() < environment_.faults.heartbeats_duplicated_until &&
-                      simulation.chance() < kShareOfLateCopies;
-  if (!copied) return;
+  const bool copy_late = simulation.now() < environment_.faults.heartbeats_duplicated_until &&
+                         simulation.chance() < kLateCopyProbability;
+  if (!copy_late) return;
   environment_.evidence.add(Evidence::heartbeat_duplicated);
   const auto lease = static_cast<double>(environment_.settings.worker_lease.count());
-  const Micros spread{static_cast<std::int64_t>(lease * kLatestCopy * simulation.chance())};
-  simulation.after(kMinCopyDelay + spread, [this, body] { deliver_copy(body); });
+  const Micros extra_delay{
+      static_cast<std::int64_t>(lease * kMaxExtraCopyDelayInLeases * simulation.chance())};
+  simulation.after(kMinCopyDelay + extra_delay, [this, body] { deliver_copy(body); });
 }
 
 void HeartbeatExchange::deliver_copy(const std::string& body) {
@@ -65,11 +68,11 @@
   defects.start_elsewhere(reply, heartbeat.machine, machines_.cloud(), environment_.simulation.now());
   network_.send(host.name, heartbeat.machine,
                 [this, heartbeat, status = sent.status, body = wire::body_of(sent)] {
-                  deliver_answer(heartbeat, status, body);
+                  deliver_reply(heartbeat, status, body);
                 });
 }
 
-void HeartbeatExchange::deliver_answer(const Heartbeat& heartbeat, int status, const std::string& body) {
+void HeartbeatExchange::deliver_reply(const Heartbeat& heartbeat, int status, const std::string& body) {
   SimulatedWorker* worker = awaiting_worker(heartbeat);
   if (worker != nullptr && !worker->unreachable_inbound)
     worker->heartbeat_answered(status, body, environment_.simulation.now());
