--- a/tests/sim/environment.h
+++ b/tests/sim/environment.h
@@ -1,4 +1,4 @@
-// What the components of a simulated cluster share.
+// The state that the components of a simulated cluster share.
 #pragma once
 
 #include <map>
@@ -14,15 +14,16 @@
 
 namespace bendtide::sim {
 
-/// Addresses of the two services; controllers and machines have their names as addresses.
+/// Network addresses of the key-value store and the cloud. Those of controllers and machines are their names.
 inline const std::string kStoreAddress = "state";
 inline const std::string kCloudAddress = "cloud";
 
-/// Faults in effect that are not the state of one component. Written by FaultInjector only.
+/// Faults in effect that are not part of the state of one component. Only FaultInjector changes them.
 struct ActiveFaults {
   bool store_outage = false;
-  double store_slowness = 1;            ///< factor of the time that the store takes for a request
-  std::set<std::string> refused_hosts;  ///< by the key-value store
+  double store_slowness = 1;            ///< factor on the time that the store takes for a request
+  std::set<std::string> refused_hosts;  ///< controllers whose requests the key-value store refuses
+  // The end of each fault; in the past if it is not in effect.
   Micros machines_boot_late_until{0};
   Micros transactions_late_until{0};
   Micros heartbeats_duplicated_until{0};
@@ -30,7 +31,7 @@
   Micros store_responses_late_until{0};
 };
 
-/// Owned by SimulatedCluster; outlives all components.
+/// Owned by SimulatedCluster; outlives all components that refer to it.
 struct Environment {
   explicit Environment(const FaultScenario& the_scenario)
       : scenario(the_scenario),
