--- a/src/core/jobs/ended_jobs.cpp
+++ b/src/core/jobs/ended_jobs.cpp
@@ -7,7 +7,8 @@
 void stop_attempt(ControllerState& state, Shard& shard, const AttemptId& attempt, Machine& machine) {
   const auto placed = machine.tasks.find(attempt);
   if (placed == machine.tasks.end() || !placed->second.wanted) return;
-  shard.change(machine, attempt, placed->second, [](Placement& placement) { placement.wanted = false; });
+  shard.change_placement(machine, attempt, placed->second,
+                         [](Placement& placement) { placement.wanted = false; });
   state.context.debug([&] {
     return LogMessage("attempt no longer wanted")
         .shard(shard.name)
--- a/src/core/jobs/final_state_writer.cpp
+++ b/src/core/jobs/final_state_writer.cpp
@@ -117,7 +117,7 @@
     Shard& shard = *state_.shard_in_term(write.shard, write.leadership_term);
     final_state.done = job->done;
     job->finalizing = false;
-    shard.end(*job);
+    shard.mark_ended(*job);
     if (!job->awards.empty())
       for (const auto& [host, route] : state_.routes)
         state_.context.act(PeerSend{host, JobEndNotice{write.job}});
--- a/src/core/jobs/finished_task_recorder.cpp
+++ b/src/core/jobs/finished_task_recorder.cpp
@@ -38,7 +38,7 @@
   mark_slots_to_write(shard);
   Batch batch;
   batch.transaction.compares = {state_.fenced_by(shard)};
-  for (auto& [number, slot] : shard.done_slots) {
+  for (auto& [number, slot] : shard.finished_task_slots) {
     if (!slot.dirty || batch.slots.size() >= state_.context.settings.store_transaction_writes) continue;
     if (slot.outcome_unknown) return read_slot(shard, number);
     const SlotContent content = content_of(shard, slot);
@@ -72,25 +72,26 @@
 
 /// Returns the slot that contains the chunk. If there is none, adds the chunk to the first slot with enough
 /// space or to a new slot.
-DoneSlot& FinishedTaskRecorder::slot_for(Shard& shard, const Job& job, std::uint32_t chunk) const {
+FinishedTaskSlot& FinishedTaskRecorder::slot_for(Shard& shard, const Job& job, std::uint32_t chunk) const {
   const std::pair key{job.spec.id, chunk};
   const std::size_t bytes = records::done_bytes(job.spec.id, tasks_in_chunk(job, chunk));
   const std::size_t max_bytes = state_.context.settings.store_value_bytes * 9 / 10;
   std::uint32_t next_number = 0;
-  DoneSlot* with_space = nullptr;
-  for (auto& [number, slot] : shard.done_slots) {
+  FinishedTaskSlot* with_space = nullptr;
+  for (auto& [number, slot] : shard.finished_task_slots) {
     if (slot.chunks.contains(key)) return slot;
     if (with_space == nullptr && slot.bytes + bytes <= max_bytes) with_space = &slot;
     next_number = number + 1;
   }
-  DoneSlot& slot = with_space != nullptr ? *with_space : shard.done_slots[next_number];
+  FinishedTaskSlot& slot = with_space != nullptr ? *with_space : shard.finished_task_slots[next_number];
   slot.chunks.insert(key);
   slot.bytes += bytes;
   return slot;
 }
 
 /// Returns the content to be written to a slot, after removing the chunks of ended jobs from the slot.
-FinishedTaskRecorder::SlotContent FinishedTaskRecorder::content_of(const Shard& shard, DoneSlot& slot) {
+FinishedTaskRecorder::SlotContent FinishedTaskRecorder::content_of(const Shard& shard,
+                                                                   FinishedTaskSlot& slot) {
   SlotContent content;
   slot.bytes = 0;
   for (auto it = slot.chunks.begin(); it != slot.chunks.end();) {
@@ -110,8 +111,8 @@
   return content;
 }
 
-void FinishedTaskRecorder::Batch::add(const std::string& key, std::uint32_t number, const DoneSlot& slot,
-                                      const SlotContent& content) {
+void FinishedTaskRecorder::Batch::add(const std::string& key, std::uint32_t number,
+                                      const FinishedTaskSlot& slot, const SlotContent& content) {
   // The compared revision prevents a delayed write from overwriting a later one.
   transaction.compares.push_back({key, slot.revision});
   transaction.writes.push_back({key, records::to_json(content.value), 0});
@@ -134,7 +135,7 @@
   shard.finished_tasks_write.schedule(state_.now() + kWriteInterval);
   if (response.outcome == Outcome::conflict) invalidate_leases_();
   for (const std::uint32_t number : batch.slots) {
-    DoneSlot& slot = shard.done_slots[number];
+    FinishedTaskSlot& slot = shard.finished_task_slots[number];
     if (response.ok())
       slot.on_written(response.revision);
     else if (response.outcome != Outcome::refused)
@@ -171,7 +172,7 @@
     current->finished_tasks_write.end();
     if (!response.ok() && response.outcome != Outcome::absent) return;
     const bool exists = !response.entries.empty();
-    current->done_slots[number].on_read(exists ? response.entries.front().revision : Revision{});
+    current->finished_task_slots[number].on_read(exists ? response.entries.front().revision : Revision{});
   });
 }
 
--- a/src/core/jobs/finished_task_recorder.h
+++ b/src/core/jobs/finished_task_recorder.h
@@ -39,11 +39,12 @@
     std::vector<std::uint32_t> slots;  ///< slot numbers
     std::size_t bytes = 0;             ///< upper bound of the size of all slots
 
-    void add(const std::string& key, std::uint32_t number, const DoneSlot& slot, const SlotContent& content);
+    void add(const std::string& key, std::uint32_t number, const FinishedTaskSlot& slot,
+             const SlotContent& content);
   };
   void mark_slots_to_write(Shard& shard) const;
-  DoneSlot& slot_for(Shard& shard, const Job& job, std::uint32_t chunk) const;
-  static SlotContent content_of(const Shard& shard, DoneSlot& slot);
+  FinishedTaskSlot& slot_for(Shard& shard, const Job& job, std::uint32_t chunk) const;
+  static SlotContent content_of(const Shard& shard, FinishedTaskSlot& slot);
   void write(Shard& shard, Batch batch);
   void on_written(Shard& shard, const Batch& batch, const StoreResponse& response);
   void mark_recorded(Shard& shard, const std::vector<RecordedChunk>& chunks);
--- a/src/core/jobs/job_directory.cpp
+++ b/src/core/jobs/job_directory.cpp
@@ -79,7 +79,7 @@
   job.tasks.resize(record.spec.tasks);
   job.waiting.reserve(record.spec.tasks);
   for (std::uint32_t i = record.spec.tasks; i > 0; --i) job.waiting.push_back(i - 1);
-  shard.changed();
+  shard.request_scheduling_pass();
   return job;
 }
 
--- a/src/core/leases/shard_leases.cpp
+++ b/src/core/leases/shard_leases.cpp
@@ -158,7 +158,7 @@
   shard.first_fencing_token = token;
   shard.leadership_term = ++leadership_terms_;
   shard.acquired_at = state_.now();
-  shard.handover = transfers_.take_handover(name, replaced);
+  shard.unreachable_at_handover = transfers_.take_handover(name, replaced);
   state_.context.info(LogMessage("shard acquired").shard(name).token(token));
   on_acquired_(shard);
 }
--- a/src/core/negotiation/award_reader.cpp
+++ b/src/core/negotiation/award_reader.cpp
@@ -47,7 +47,7 @@
 }
 
 /// Applies a record of finished tasks that an earlier leader of this shard wrote.
-void load_own_progress(Shard& shard, DoneSlot& slot, const std::vector<records::DoneBits>& chunks) {
+void load_own_progress(Shard& shard, FinishedTaskSlot& slot, const std::vector<records::DoneBits>& chunks) {
   for (const records::DoneBits& chunk : chunks) {
     const auto job = shard.jobs.find(chunk.job);
     // The next write of the record leaves out jobs that no longer exist.
@@ -104,7 +104,7 @@
   shard.award_read.end();
   if (!response.ok()) return;
   shard.award_freshness.confirm(requested_at, state_.context.settings.lease_term());
-  shard.changed();
+  shard.request_scheduling_pass();
   load_awards(shard, response.entries, requested_at);
   std::set<std::string> current;
   for (const KeyValue& entry : response.entries) current.insert(entry.key);
@@ -113,7 +113,7 @@
     const bool still_awarded = std::any_of(job.awards.begin(), job.awards.end(),
                                            [&](const auto& award) { return current.contains(award.first); });
     // The owner removes the awards of a job once the job is done or cancelled.
-    if (!still_awarded) shard.end(job);
+    if (!still_awarded) shard.mark_ended(job);
   }
 }
 
@@ -144,7 +144,7 @@
   }
   Job& job = found->second;
   if (job.owner.empty() || !job.awards.emplace(key, shard.name).second) return;
-  shard.changed();
+  shard.request_scheduling_pass();
   for (const std::uint32_t task : awarded_tasks(award, job))
     if (job.tasks[task].state == Task::State::elsewhere) job.set_waiting(task);
 }
@@ -166,7 +166,7 @@
     const auto job = shard.jobs.find(id.task.job);
     if (!placement.wanted || job == shard.jobs.end() || !shard.award_is_stale(job->second, state_.now()))
       continue;
-    shard.change(machine, id, placement, [](Placement& changed) { changed.wanted = false; });
+    shard.change_placement(machine, id, placement, [](Placement& changed) { changed.wanted = false; });
     state_.context.debug([&shard, &machine, &attempt = id] {
       return LogMessage("task stop requested")
           .shard(shard.name)
@@ -207,7 +207,7 @@
       continue;
     }
     const auto number = static_cast<std::uint32_t>(std::strtoul(key[2].c_str(), nullptr, 10));
-    DoneSlot& slot = shard.done_slots[number];
+    FinishedTaskSlot& slot = shard.finished_task_slots[number];
     slot.revision = entry.revision;
     if (chunks) load_own_progress(shard, slot, *chunks);
   }
--- a/src/core/negotiation/quota_transfer.cpp
+++ b/src/core/negotiation/quota_transfer.cpp
@@ -97,7 +97,7 @@
     shard.quota.complete_transfer(transfer.team, transfer.amount);
   else
     shard.quota.cancel_transfer(transfer.team, transfer.amount);
-  shard.changed();
+  shard.request_scheduling_pass();
   if (transfer.award) {
     const auto job = shard.jobs.find(transfer.award->job);
     if (job != shard.jobs.end()) finish_award(job->second, transfer, applied, state_.now());
@@ -198,7 +198,7 @@
   if (shard == nullptr) return;
   finish(*shard, transfer, applied);
   shard->quota.load(shares, shard->quota.revision());
-  shard->changed();
+  shard->request_scheduling_pass();
   shard->quota.mark_stale();
 }
 
@@ -244,7 +244,7 @@
         const auto allocation = allocation_in(response);
         if (!allocation || response.entries.front().revision < read_shard->quota.revision()) return;
         read_shard->quota.load(allocation->quota_shares, response.entries.front().revision);
-        read_shard->changed();
+        read_shard->request_scheduling_pass();
       });
 }
 
--- a/src/core/ownership/machine_ownership_writes.cpp
+++ b/src/core/ownership/machine_ownership_writes.cpp
@@ -141,7 +141,7 @@
     block.outcome_unknown = outcome_unknown;
     block.request_rewrite(OwnershipBlock::Rewrite::soon);
   }
-  shard->changed();
+  shard->request_scheduling_pass();
   if (outcome_unknown) invalidate();
 }
 
--- a/src/core/placement/placer.cpp
+++ b/src/core/placement/placer.cpp
@@ -96,7 +96,7 @@
 
 void Placer::place_task(Shard& shard, Job& job, std::uint32_t index, Machine& machine) {
   const AttemptId id{{job.spec.id, index}, shard.next_attempt()};
-  shard.place(machine, id, &job).placed_at = state_.now();
+  shard.add_placement(machine, id, &job).placed_at = state_.now();
   job.leave_waiting(index, {Task::State::placed, &machine, id.attempt});
   state_.context.debug([&] {
     LogMessage message("place");
--- a/src/core/placement/preemption.cpp
+++ b/src/core/placement/preemption.cpp
@@ -94,8 +94,8 @@
   }
 
   void stop(Machine& machine, const Candidate& candidate) {
-    shard_.change(machine, *candidate.id, *candidate.placement,
-                  [](Placement& placement) { placement.wanted = false; });
+    shard_.change_placement(machine, *candidate.id, *candidate.placement,
+                            [](Placement& placement) { placement.wanted = false; });
     shard_.request_push(machine);
     state_.context.debug([&] {
       const TaskId& task = candidate.id->task;
--- a/src/core/placement/scheduler.cpp
+++ b/src/core/placement/scheduler.cpp
@@ -40,8 +40,8 @@
 }  // namespace
 
 void Scheduler::pass(Shard& shard) {
-  if (state_.now() < shard.next_pass) return;
-  shard.next_pass = state_.now() + kPassInterval;
+  if (state_.now() < shard.next_scheduling_pass_at) return;
+  shard.next_scheduling_pass_at = state_.now() + kPassInterval;
   rebuild_queue(shard, state_.context);
   if (shard.queue.empty()) return;
   const std::int64_t smallest = smallest_cpu(shard.queue);
--- a/src/core/provisioning/demand.cpp
+++ b/src/core/provisioning/demand.cpp
@@ -45,7 +45,8 @@
     const Offering offering{machine.type, machine.zone, machine.spot};
     if (machine.liveness.status_received) {
       if (fleet_.usable(machine)) bins.push_back({offering, machine.released_by(state_.now() + type->boot)});
-    } else if (!shard.cut_zones.contains(machine.zone) && is_expected_to_boot(machine, *type, newest)) {
+    } else if (!shard.unreachable_zones.contains(machine.zone) &&
+               is_expected_to_boot(machine, *type, newest)) {
       bins.push_back({offering, machine.size});
     }
   }
--- a/src/core/provisioning/offering_selector.cpp
+++ b/src/core/provisioning/offering_selector.cpp
@@ -22,7 +22,7 @@
   if (!suits(demand.job->spec, offering)) return false;
   if (demand.spot_only && !offering.spot) return false;
   if (offering.spot && (!state_.context.policy.spot_machines || type.spot_price <= 0)) return false;
-  if (shard.cut_zones.contains(offering.zone)) return false;
+  if (shard.unreachable_zones.contains(offering.zone)) return false;
   const auto exhausted = exhausted_until_.find(offering);
   return exhausted == exhausted_until_.end() || exhausted->second <= state_.now();
 }
--- a/src/core/provisioning/scale_in.cpp
+++ b/src/core/provisioning/scale_in.cpp
@@ -25,7 +25,7 @@
       continue;
     // A machine behind a network partition is idle only because it can't be reached, and is needed again once
     // the partition has healed.
-    if (machine.liveness.lease_expired || shard.cut_zones.contains(machine.zone)) continue;
+    if (machine.liveness.lease_expired || shard.unreachable_zones.contains(machine.zone)) continue;
     if (!machine.idle()) {
       drain_best_effort(shard, machine);
       continue;
@@ -68,7 +68,7 @@
     // need another task to start elsewhere within that time.
     const bool first_task_due = state_.context.wall - job.accepted < Settings::kFirstTaskWithin;
     if (first_task_due && job.present == 1) continue;
-    shard.change(machine, id, placement, [](Placement& changed) { changed.wanted = false; });
+    shard.change_placement(machine, id, placement, [](Placement& changed) { changed.wanted = false; });
     shard.request_push(machine);
   }
 }
@@ -81,9 +81,9 @@
     // A machine behind a network partition may have been running before this leadership term began, so it
     // gets more time. The time is limited because machines that never booted look like a partition as well,
     // and no machine is created in their zone as long as they are kept.
-    const Micros max_silence = shard.cut_zones.contains(machine.zone) ? lease * 3 / 2 : lease;
+    const Micros max_silence = shard.unreachable_zones.contains(machine.zone) ? lease * 3 / 2 : lease;
     // After a zone has become reachable again, its workers have the duration of a lease to send a heartbeat.
-    if (state_.now() - std::max(shard.acquired_at, shard.cut_over) <= max_silence) continue;
+    if (state_.now() - std::max(shard.acquired_at, shard.last_zone_recovery_at) <= max_silence) continue;
     machine.lifecycle.decommissioned = true;
     state_.context.info(LogMessage("machine decommissioned")
                             .shard(shard.name)
--- a/src/core/state/controller_state.h
+++ b/src/core/state/controller_state.h
@@ -143,7 +143,7 @@
       final_states.record_ended(job, now());
     for (auto& [name, shard] : shards) {
       const auto found = shard.jobs.find(job);
-      if (found != shard.jobs.end()) shard.end(found->second);
+      if (found != shard.jobs.end()) shard.mark_ended(found->second);
     }
     return agrees;
   }
--- a/src/core/state/done_slot.h
+++ b/src/core/state/done_slot.h
@@ -14,7 +14,7 @@
 
 /// One record of finished tasks. It covers chunks of several jobs, so that a single write can record all
 /// tasks that finished since the previous write.
-struct DoneSlot {
+struct FinishedTaskSlot {
   Revision revision = 0;                                   ///< of the record; 0 if it does not exist
   std::set<std::pair<std::string, std::uint32_t>> chunks;  ///< job id and chunk number of each chunk
   std::size_t bytes = 0;         ///< upper bound of the record's size, reached when every task is done
--- a/src/core/state/machine.h
+++ b/src/core/state/machine.h
@@ -28,7 +28,7 @@
 };
 
 /// An attempt that is, or may be, on a machine. `wanted`, `seen` and `each` must be changed only through
-/// Shard::change, which updates the sums. Times are on the steady clock.
+/// Shard::change_placement, which updates the sums. Times are on the steady clock.
 struct Placement {
   enum class Seen : std::uint8_t { no, fetching, running, saving, ended };
   bool wanted = true;    ///< false once the attempt is to be stopped
@@ -74,7 +74,7 @@
   Micros needed_at{0};                ///< when it last had a task that is not best-effort
   std::set<std::string> failed_jobs;  ///< ids of jobs whose tasks failed on it since its last success
   bool push_in_flight = false;        ///< a pushed command request to it is in flight
-  bool push_pending = false;          ///< it is in Shard::push
+  bool push_pending = false;          ///< it is in Shard::machines_to_push_to
   std::map<AttemptId, Placement> tasks;
   ImageCache images;
 
--- a/src/core/state/shard.h
+++ b/src/core/state/shard.h
@@ -52,30 +52,32 @@
 
   std::map<std::string, Job> jobs;          ///< by job id
   std::map<std::string, Machine> machines;  ///< by name
-  std::uint64_t starts = 0;                 ///< number of attempts made in this leadership term
+  std::uint64_t attempt_count = 0;          ///< number of attempts made in this leadership term
 
   std::vector<QueueEntry> queue;  ///< as of the last scheduling pass
-  Micros next_pass{0};            ///< time of the next scheduling pass; 0 if a change requires one at once
-  Micros next_watch{0};           ///< time of the next check for failed machines
-  std::map<std::string, Micros> cut_zones;  ///< unreachable zones, with the time at which each became so
-  Micros cut_over{0};                       ///< when an unreachable zone last became reachable again
+  /// Time of the next scheduling pass; 0 if a change requires one at once.
+  Micros next_scheduling_pass_at{0};
+  Micros next_failure_check_at{0};  ///< time of the next check for failed machines
+  /// Unreachable zones, with the time at which each became so.
+  std::map<std::string, Micros> unreachable_zones;
+  Micros last_zone_recovery_at{0};  ///< when an unreachable zone last became reachable again
   /// Jobs were loaded from the key-value store, and some machines are not reconciled yet.
   bool has_unreconciled_jobs = false;
-  std::vector<std::string> push;        ///< names of the machines with `push_pending`
+  std::vector<std::string> machines_to_push_to;  ///< names of the machines with `push_pending`
   std::vector<std::string> ended_jobs;  ///< ids of ended jobs that may still have attempts to be stopped
-  std::map<std::uint32_t, DoneSlot> done_slots;              ///< by slot number
-  std::map<std::uint32_t, OwnershipBlock> ownership_blocks;  ///< by block number
+  std::map<std::uint32_t, FinishedTaskSlot> finished_task_slots;  ///< by slot number
+  std::map<std::uint32_t, OwnershipBlock> ownership_blocks;       ///< by block number
   /// The unreachable machines reported by the previous leader at a lease transfer; empty once the shard is
   /// loaded.
-  std::vector<UnreachableMachine> handover;
+  std::vector<UnreachableMachine> unreachable_at_handover;
 
   bool ready() const { return stage == Stage::ready; }
   /// Requests a scheduling pass as soon as possible.
-  void changed() { next_pass = Micros{0}; }
+  void request_scheduling_pass() { next_scheduling_pass_at = Micros{0}; }
   /// Adds the machine to those that the next push_commands pushes commands to.
   void request_push(Machine& machine) {
     if (std::exchange(machine.push_pending, true)) return;
-    push.push_back(machine.name);
+    machines_to_push_to.push_back(machine.name);
   }
   /// Returns the job of a task; null if the shard has no such job or the job has no such task.
   Job* job_of(const TaskId& task) {
@@ -83,7 +85,7 @@
     return found == jobs.end() || task.index >= found->second.tasks.size() ? nullptr : &found->second;
   }
   /// Marks the job as ended: none of its tasks may start, and all of its attempts are to be stopped.
-  void end(Job& job) {
+  void mark_ended(Job& job) {
     if (std::exchange(job.ended, true)) return;
     ended_jobs.push_back(job.spec.id);
   }
@@ -102,28 +104,28 @@
     return job.can_start(now) && !job.unreconciled && !award_is_stale(job, now);
   }
   /// Returns a number that is unique among all attempts ever made, since fencing tokens are unique and grow.
-  std::uint64_t next_attempt() { return (fencing_token.value() << 16) + ++starts; }
+  std::uint64_t next_attempt() { return (fencing_token.value() << 16) + ++attempt_count; }
 
   // ---- sums, updated with each change ------------------------------------------------------------
 
   /// Applies `modify` to a placement and updates all sums.
   template <class Modify>
-  void change(Machine& machine, const AttemptId& id, Placement& placement, Modify&& modify) {
+  void change_placement(Machine& machine, const AttemptId& id, Placement& placement, Modify&& modify) {
     count(machine, id, placement, -1);
     modify(placement);
     count(machine, id, placement, 1);
   }
   /// Adds a placement of a task. It counts against the quota of the job's team, or of every team if `job` is
   /// null (unknown).
-  Placement& place(Machine& machine, const AttemptId& id, Job* job) {
+  Placement& add_placement(Machine& machine, const AttemptId& id, Job* job) {
     Placement& placement = machine.tasks[id];
-    identify(placement, machine, job);
+    assign_to_job(placement, machine, job);
     count(machine, id, placement, 1);
     return placement;
   }
   /// Assigns the placement to a job. A null `job` stands for an unknown job, whose placement counts as using
   /// the whole machine.
-  void identify(Placement& placement, const Machine& machine, const Job* job) {
+  void assign_to_job(Placement& placement, const Machine& machine, const Job* job) {
     placement.of_known_job = job != nullptr;
     if (job == nullptr) {
       placement.of_service = false;
@@ -137,7 +139,7 @@
     placement.image_gb = job->spec.image_gb;
     placement.usage = &quota.usage.by_team[job->spec.team];
   }
-  void remove(Machine& machine, const AttemptId& id) {
+  void remove_placement(Machine& machine, const AttemptId& id) {
     const auto found = machine.tasks.find(id);
     if (found == machine.tasks.end()) return;
     count(machine, id, found->second, -1);
--- a/src/core/workers/command_builder.cpp
+++ b/src/core/workers/command_builder.cpp
@@ -80,7 +80,7 @@
                                                                  .job(id.task.job)
                                                                  .task(id.task.index)
                                                                  .attempt(id.attempt));
-  shard.end(*job);
+  shard.mark_ended(*job);
   return false;
 }
 
--- a/src/core/workers/failure_detector.cpp
+++ b/src/core/workers/failure_detector.cpp
@@ -113,7 +113,8 @@
     if (state_.now() - machine.liveness.last_heartbeat_at > longest_pause) ++count.silent;
   }
   // A zone without machines sends no heartbeat that could show that it is reachable again.
-  std::erase_if(shard.cut_zones, [&](const auto& cut) { return !zones.contains(cut.first); });
+  std::erase_if(shard.unreachable_zones,
+                [&](const auto& unreachable_zone) { return !zones.contains(unreachable_zone.first); });
   for (const auto& [zone, count] : zones) {
     if (count.mostly_silent())
       on_zone_unreachable(shard, zone);
@@ -123,20 +124,21 @@
 }
 
 void FailureDetector::on_zone_unreachable(Shard& shard, const std::string& zone) const {
-  const auto cut = shard.cut_zones.find(zone);
-  if (cut == shard.cut_zones.end()) {
+  const auto unreachable_zone = shard.unreachable_zones.find(zone);
+  if (unreachable_zone == shard.unreachable_zones.end()) {
     state_.context.info(LogMessage("zone unreachable").shard(shard.name).zone(zone));
-    shard.cut_zones[zone] = state_.now();
-  } else if (state_.now() - cut->second > state_.context.settings.worker_lease * kUnreachableZoneLeases) {
-    shard.cut_zones.erase(cut);
+    shard.unreachable_zones[zone] = state_.now();
+  } else if (state_.now() - unreachable_zone->second >
+             state_.context.settings.worker_lease * kUnreachableZoneLeases) {
+    shard.unreachable_zones.erase(unreachable_zone);
   }
 }
 
 void FailureDetector::on_zone_reachable(Shard& shard, const std::string& zone) const {
-  if (shard.cut_zones.erase(zone) == 0) return;
+  if (shard.unreachable_zones.erase(zone) == 0) return;
   state_.context.info(LogMessage("zone reachable again").shard(shard.name).zone(zone));
-  shard.cut_over = state_.now();
-  shard.changed();
+  shard.last_zone_recovery_at = state_.now();
+  shard.request_scheduling_pass();
 }
 
 void FailureDetector::decommission_failed(Shard& shard) {
@@ -147,7 +149,7 @@
     const bool unreachable = machine.acknowledgements.unreachable();
     const bool silent = may_hold_lease(machine) &&
                         state_.now() - machine.liveness.last_contact() > longest_silence &&
-                        !shard.cut_zones.contains(machine.zone);
+                        !shard.unreachable_zones.contains(machine.zone);
     if (machine.lifecycle.decommissioned || !(unreachable || silent)) continue;
     machine.lifecycle.decommissioned = true;
     state_.context.info(LogMessage("machine decommissioned")
--- a/src/core/workers/fleet.cpp
+++ b/src/core/workers/fleet.cpp
@@ -30,8 +30,8 @@
   ownership_.tick();
   if (!state_.lease_valid()) return;
   for (auto& [name, shard] : state_.shards) {
-    if (!shard.ready() || state_.now() < shard.next_watch) continue;
-    shard.next_watch = state_.now() + kCheckInterval;
+    if (!shard.ready() || state_.now() < shard.next_failure_check_at) continue;
+    shard.next_failure_check_at = state_.now() + kCheckInterval;
     failures_.check(shard);
     if (shard.has_unreconciled_jobs && shard.all_reconciled()) finish_reconciliation(shard);
   }
@@ -52,7 +52,7 @@
   shard.has_unreconciled_jobs = false;
   state_.context.info(LogMessage("shard reconciled").shard(shard.name));
   for (auto& [id, job] : shard.jobs) job.unreconciled = false;
-  shard.changed();
+  shard.request_scheduling_pass();
 }
 
 Machine& Fleet::add(Shard& shard, const Machine& machine, bool reconciled) {
--- a/src/core/workers/fleet_handover.cpp
+++ b/src/core/workers/fleet_handover.cpp
@@ -41,7 +41,7 @@
 /// for the shard before it sent the handover, and this controller replaced exactly that leader's lease
 /// record.
 void Fleet::restore_unreachable_machines(Shard& shard) {
-  for (const UnreachableMachine& unreachable : std::exchange(shard.handover, {})) {
+  for (const UnreachableMachine& unreachable : std::exchange(shard.unreachable_at_handover, {})) {
     const auto found = shard.machines.find(unreachable.machine);
     if (found == shard.machines.end()) continue;
     Machine& machine = found->second;
--- a/src/core/workers/fleet_pushes.cpp
+++ b/src/core/workers/fleet_pushes.cpp
@@ -29,12 +29,12 @@
 
 void Fleet::push_commands(Shard& shard) {
   std::vector<std::string> names;
-  std::swap(names, shard.push);
+  std::swap(names, shard.machines_to_push_to);
   for (std::string& name : names) {
     const auto found = shard.machines.find(name);
     if (found == shard.machines.end()) continue;
     if (calls_.push_limit_reached()) {
-      shard.push.push_back(std::move(name));
+      shard.machines_to_push_to.push_back(std::move(name));
       continue;
     }
     Machine& machine = found->second;
--- a/src/core/workers/fleet_statuses.cpp
+++ b/src/core/workers/fleet_statuses.cpp
@@ -52,7 +52,7 @@
 void Fleet::mark_up(Shard& shard, Machine& machine) {
   Liveness& liveness = machine.liveness;
   if (!liveness.status_received || liveness.lease_expired) {
-    shard.changed();
+    shard.request_scheduling_pass();
     machine.idle_since = state_.now();  // no task could be placed on it before
   }
   if (!liveness.status_received && !machine.in_use) ownership_.on_machine_up(shard, machine);
--- a/src/core/workers/task_tracker.cpp
+++ b/src/core/workers/task_tracker.cpp
@@ -41,10 +41,11 @@
   Placement& placement = found == machine.tasks.end() ? adopt(shard, machine, status, job) : found->second;
   placement.last_listed_in = sequence_number;
   if (!placement.of_known_job && job != nullptr)
-    shard.change(machine, id, placement, [&](Placement& changed) { shard.identify(changed, machine, job); });
+    shard.change_placement(machine, id, placement,
+                           [&](Placement& changed) { shard.assign_to_job(changed, machine, job); });
   const Placement::Seen seen = seen_as(status.phase);
   if (seen == placement.seen) return;
-  shard.change(machine, id, placement, [&](Placement& changed) { changed.seen = seen; });
+  shard.change_placement(machine, id, placement, [&](Placement& changed) { changed.seen = seen; });
   if (seen == Placement::Seen::running) on_running(machine, placement, job);
   if (seen == Placement::Seen::ended) {
     placement.cause = status.cause;
@@ -58,7 +59,7 @@
 /// attempt is gone.
 Placement& TaskTracker::adopt(Shard& shard, Machine& machine, const TaskStatus& status, Job* job) {
   const AttemptId id{status.task, status.attempt};
-  Placement& placement = shard.place(machine, id, job);
+  Placement& placement = shard.add_placement(machine, id, job);
   placement.placed_at = state_.now();
   bool keep = false;
   if (job != nullptr && !job->ended && status.phase != TaskPhase::exited &&
@@ -66,7 +67,7 @@
     job->leave_waiting(id.task.index, {Task::State::placed, &machine, id.attempt});
     keep = status.phase != TaskPhase::saving;
   }
-  shard.change(machine, id, placement, [&](Placement& changed) { changed.wanted = keep; });
+  shard.change_placement(machine, id, placement, [&](Placement& changed) { changed.wanted = keep; });
   return placement;
 }
 
@@ -80,9 +81,9 @@
 void TaskTracker::on_attempt_ended(Shard& shard, Machine& machine, const AttemptId& id,
                                    Placement& placement) {
   const ExitCause cause = placement.cause;
-  // An ended attempt counts in no resource sum, so `wanted` may be changed without Shard::change().
+  // An ended attempt counts in no resource sum, so `wanted` may be changed without Shard::change_placement().
   const bool was_wanted = std::exchange(placement.wanted, false);
-  shard.changed();
+  shard.request_scheduling_pass();
   if (placement.start.was_pushed()) {
     // A copy of the pushed start has no effect while the worker remembers the ended attempt. The worker must
     // remember it until it acknowledges a higher fencing token. The higher token is urgent if the task must
@@ -170,8 +171,8 @@
   Job* job = shard.job_of(id.task);
   if (job != nullptr && is_current_attempt(job->tasks[id.task.index], machine, id))
     job->set_waiting(id.task.index);
-  shard.remove(machine, id);
-  shard.changed();
+  shard.remove_placement(machine, id);
+  shard.request_scheduling_pass();
   if (machine.tasks.empty()) machine.idle_since = state_.now();
 }
 
--- a/tests/late_answer_test.cpp
+++ b/tests/late_answer_test.cpp
@@ -145,11 +145,11 @@
     JobsFixture t;
     Job& job = t.add_job();
     t.at<LogLine>(100.5, [&] { t.fleet.on_heartbeat(1, t.heartbeat(10, 1, 4, false)); });
-    t.shard.place(t.machine(), {kTask, 7}, &job);
+    t.shard.add_placement(t.machine(), {kTask, 7}, &job);
     job.leave_waiting(0, {Task::State::placed, &t.machine(), 7});
     const std::string state = what;
     if (state == "final write in flight") job.finalizing = true;
-    if (state == "ended") t.shard.end(job);
+    if (state == "ended") t.shard.mark_ended(job);
     if (state == "awarded, and the award is stale") {
       job.owner = "b";
       t.shard.award_freshness.confirm(seconds(91), seconds(10));
--- a/tests/machine_test.cpp
+++ b/tests/machine_test.cpp
@@ -83,7 +83,7 @@
     HeldShard t;
     Job& job = t.add_job();
     t.at<LogLine>(100.5, [&] { t.fleet.on_heartbeat(1, t.heartbeat(10, 1, 4, false)); });
-    t.shard.place(t.machine(), {kTask, 7}, &job);
+    t.shard.add_placement(t.machine(), {kTask, 7}, &job);
     job.leave_waiting(0, {Task::State::placed, &t.machine(), 7});
     t.at<LogLine>(101, [&] { t.fleet.on_heartbeat(2, t.heartbeat(10, 1, 5, false)); });
     t.at<LogLine>(next_heartbeat_at, [&] { t.fleet.on_heartbeat(3, t.heartbeat(10, 1, 6, false)); });
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -59,7 +59,7 @@
     return out;
   }
   void pass() {
-    shard.changed();
+    shard.request_scheduling_pass();
     scheduler.pass(shard);
   }
 };
