--- a/src/app/admin_api.cpp
+++ b/src/app/admin_api.cpp
@@ -42,7 +42,7 @@
 
 io::Task<HttpReply> AdminApi::answer_metrics() {
   const Controller& core = driver_.core();
-  metrics_.set_core(core.invariants(), core.state().answers_not_acted_on);
+  metrics_.set_core(core.invariants(), core.state().responses_not_acted_on);
   co_return HttpReply{200, metrics_.text(), 0, kMetricsType};
 }
 
--- a/src/app/metrics.cpp
+++ b/src/app/metrics.cpp
@@ -44,10 +44,10 @@
   if (!succeeded) series.failures->Increment();
 }
 
-void Metrics::set_core(const InvariantCounts& invariants, std::uint64_t answers_not_acted_on) {
+void Metrics::set_core(const InvariantCounts& invariants, std::uint64_t responses_not_acted_on) {
   for (std::size_t i = 0; i < kInvariants; ++i)
     violations_[i]->Set(static_cast<double>(invariants.violations[i]));
-  answers_not_acted_on_->Set(static_cast<double>(answers_not_acted_on));
+  answers_not_acted_on_->Set(static_cast<double>(responses_not_acted_on));
 }
 
 std::string Metrics::text() const { return prometheus::TextSerializer().Serialize(registry_->Collect()); }
--- a/src/app/metrics.h
+++ b/src/app/metrics.h
@@ -32,7 +32,7 @@
   /// needs.
   void observe(Kind kind, Micros elapsed, bool succeeded);
   /// Sets the metrics that the core counts itself.
-  void set_core(const InvariantCounts& invariants, std::uint64_t answers_not_acted_on);
+  void set_core(const InvariantCounts& invariants, std::uint64_t responses_not_acted_on);
   /// Returns all metrics in the Prometheus text format.
   [[nodiscard]] std::string text() const;
 
--- a/src/codec/codec.cpp
+++ b/src/codec/codec.cpp
@@ -57,7 +57,7 @@
 void serialize(Archive& archive, Message& message) { archive.field(message.shard); }
 template <class Archive, MaybeConst<PeerHealth> Message>
 void serialize(Archive& archive, Message& message) {
-  archive.fields(message.store_responsive, message.your_heartbeats);
+  archive.fields(message.store_responsive, message.redirected_heartbeats);
 }
 template <class Archive, MaybeConst<TaskStatus> Message>
 void serialize(Archive& archive, Message& message) {
--- a/src/core/controller/controller.cpp
+++ b/src/core/controller/controller.cpp
@@ -84,7 +84,7 @@
 }
 
 bool Controller::healthy() {
-  return state_.ready_shard(state_.self()) != nullptr && !state_.catalogue.empty();
+  return state_.ready_shard(state_.own_host()) != nullptr && !state_.catalogue.empty();
 }
 
 std::vector<Action> Controller::take_actions(Micros steady) {
@@ -99,8 +99,8 @@
       if (paused) std::visit(OutdatedActionFilter{}, action);
       // A controller that leads the home shard of a peer may send messages to itself.
       const auto* to_peer = std::get_if<PeerSend>(&action);
-      if (to_peer != nullptr && to_peer->host == state_.self())
-        on_peer(state_.self(), to_peer->message);
+      if (to_peer != nullptr && to_peer->host == state_.own_host())
+        on_peer(state_.own_host(), to_peer->message);
       else
         out.push_back(std::move(action));
     }
--- a/src/core/jobs/cancellations.cpp
+++ b/src/core/jobs/cancellations.cpp
@@ -21,7 +21,7 @@
   if (Shard* shard = directory_.shard_with_own_job(job))
     return cancel_locally(cancellation, *shard, shard->jobs.at(job));
   const std::string leader = directory_.leader_of(job);
-  if (leader != state_.self() && origin == RequestOrigin::user) return forward_to(leader, cancellation);
+  if (leader != state_.own_host() && origin == RequestOrigin::user) return forward_to(leader, cancellation);
   state_.store.get(records::live_key(job), [this, cancellation](const StoreResponse& response) {
     on_live_record(cancellation, response);
   });
@@ -59,7 +59,7 @@
   }
   directory_.remember_shard(*record);
   const std::string leader = state_.leader_of(record->shard);
-  if (leader != state_.self()) return forward_to(leader, cancellation);
+  if (leader != state_.own_host()) return forward_to(leader, cancellation);
   Shard* shard = state_.ready_shard(record->shard);
   Job* job =
       shard == nullptr ? nullptr : directory_.load_if_current(*shard, *record, cancellation.requested_at);
--- a/src/core/jobs/job_directory.cpp
+++ b/src/core/jobs/job_directory.cpp
@@ -55,7 +55,7 @@
 
 std::string JobDirectory::leader_of(const std::string& job) const {
   const auto shard = shard_of_.find(job);
-  return shard == shard_of_.end() ? state_.self() : state_.leader_of(shard->second);
+  return shard == shard_of_.end() ? state_.own_host() : state_.leader_of(shard->second);
 }
 
 void JobDirectory::record_final_state(const std::string& job, const FinalState& final_state) {
--- a/src/core/jobs/job_polls.cpp
+++ b/src/core/jobs/job_polls.cpp
@@ -33,7 +33,7 @@
     start_next(poll);
   };
   const std::string leader = directory_.leader_of(job);
-  if (poll.origin == RequestOrigin::peer || leader == state_.self() || !state_.reachable(leader))
+  if (poll.origin == RequestOrigin::peer || leader == state_.own_host() || !state_.reachable(leader))
     return read(job, respond_to_all, poll.origin);
   queries_.send({leader}, make_poll_query(job, false), kLeaderTimeout,
                 [this, job, respond_to_all](const UserReply& reply) {
@@ -88,7 +88,7 @@
 void JobPolls::reply_with_unfinished(const JobRead& read, const records::LiveJob& record) {
   const UserReply pending = replies::status(read.job, {});
   const std::string leader = state_.leader_of(record.shard);
-  if (leader == state_.self() || read.origin == RequestOrigin::peer || !state_.reachable(leader))
+  if (leader == state_.own_host() || read.origin == RequestOrigin::peer || !state_.reachable(leader))
     return read.respond(pending);
   queries_.send(
       {leader}, make_poll_query(read.job, false), kLeaderTimeout,
--- a/src/core/jobs/submissions.cpp
+++ b/src/core/jobs/submissions.cpp
@@ -17,7 +17,8 @@
 }  // namespace
 
 bool Submissions::can_accept() const {
-  return state_.ready_shard(state_.self()) != nullptr && !state_.catalogue.empty() && !state_.store.failing();
+  return state_.ready_shard(state_.own_host()) != nullptr && !state_.catalogue.empty() &&
+         !state_.store.failing();
 }
 
 std::optional<std::string> Submissions::reason_to_reject(const JobSpec& spec) const {
@@ -62,7 +63,7 @@
     return;
   }
   if (queued_.size() >= max_queued()) return respond(replies::unavailable(job, kRetryAfterSecondsWhenFull));
-  queued_.push_back({{state_.self(), spec, state_.context.wall}, {std::move(respond)}});
+  queued_.push_back({{state_.own_host(), spec, state_.context.wall}, {std::move(respond)}});
   write_queued();
 }
 
@@ -77,7 +78,7 @@
 }
 
 void Submissions::write_queued() {
-  const Shard* shard = state_.ready_shard(state_.self());
+  const Shard* shard = state_.ready_shard(state_.own_host());
   if (shard == nullptr) return;
   while (!queued_.empty() && writes_in_flight_ < kMaxWritesInFlight) {
     Batch batch = take_batch(*shard);
@@ -192,7 +193,7 @@
 }
 
 void Submissions::fail_unwritable() {
-  const bool can_write = state_.ready_shard(state_.self()) != nullptr && !state_.store.failing();
+  const bool can_write = state_.ready_shard(state_.own_host()) != nullptr && !state_.store.failing();
   while (!queued_.empty() && !can_write) {
     const Submission& submission = queued_.front();
     for (const ReplyCallback& respond : submission.callbacks)
--- a/src/core/leases/lease_record_writes.h
+++ b/src/core/leases/lease_record_writes.h
@@ -9,13 +9,13 @@
 /// the key-value store removes the record when that lease ends.
 inline Write lease_record_write(const ControllerState& state, const std::string& shard,
                                 StoreLeaseId store_lease) {
-  const records::LeaseRecord record{state.self(), state.context.incarnation};
+  const records::LeaseRecord record{state.own_host(), state.context.incarnation};
   return {records::lease_key(shard), records::to_json(record), store_lease};
 }
 
 /// Returns whether this process wrote the record, rather than an earlier process on the same host.
 inline bool is_written_by_this_process(const ControllerState& state, const records::LeaseRecord& record) {
-  return record.host == state.self() && record.incarnation == state.context.incarnation;
+  return record.host == state.own_host() && record.incarnation == state.context.incarnation;
 }
 
 }  // namespace bendtide
--- a/src/core/leases/lease_transfer.cpp
+++ b/src/core/leases/lease_transfer.cpp
@@ -58,7 +58,7 @@
   if (found == transferred_.end()) return false;
   const Transferred& transferred = found->second;
   const ShardRoute& route = state_.routes[shard];
-  const bool led_by_peer = route.revision != 0 && route.host != state_.self();
+  const bool led_by_peer = route.revision != 0 && route.host != state_.own_host();
   // The recorded workers may never answer a probe because they are unreachable or deleted. After `last_probe`
   // the peer has had two worker leases to handle them, so this controller stops waiting for their answers.
   const Micros last_probe = transferred.hold_off_until + state_.context.settings.worker_lease * 2;
--- a/src/core/leases/peer_health.cpp
+++ b/src/core/leases/peer_health.cpp
@@ -23,9 +23,9 @@
 
 void PeerHealthMonitor::on_peer_health(const std::string& host, const PeerHealth& health) {
   PeerState& peer = state_.peers[host];
-  peer.heard_at = state_.now();
+  peer.last_health_at = state_.now();
   peer.store_responsive = health.store_responsive;
-  if (health.your_heartbeats > 0) peer.our_workers_at = state_.now();
+  if (health.redirected_heartbeats > 0) peer.redirected_heartbeats_reported_at = state_.now();
 }
 
 bool PeerHealthMonitor::all_workers_silent(const Shard& shard) const {
@@ -53,7 +53,8 @@
     if (!state_.reachable(host) || !peer.store_responsive) continue;
     if (store_failing) return TransferTarget{host, TransferReason::store_unresponsive};
     const bool receives_redirected_heartbeats =
-        peer.our_workers_at >= Micros{0} && state_.now() - peer.our_workers_at < ControllerState::kPeerSilent;
+        peer.redirected_heartbeats_reported_at >= Micros{0} &&
+        state_.now() - peer.redirected_heartbeats_reported_at < ControllerState::kPeerTimeout;
     if (receives_redirected_heartbeats) return TransferTarget{host, TransferReason::workers_unreachable};
   }
   return std::nullopt;
--- a/src/core/leases/shard_leases.cpp
+++ b/src/core/leases/shard_leases.cpp
@@ -32,7 +32,7 @@
       token_advance_(state, store_lease_, [this] { schedule_listing_after_failure(); }),
       transfers_(state, fleet),
       peer_health_(state, fleet, transfers_) {
-  state_.routes[state_.self()];
+  state_.routes[state_.own_host()];
   for (const Peer& peer : state_.context.settings.peers) state_.routes[peer.host];
 }
 
@@ -124,12 +124,13 @@
   if (acquisition_.in_flight(shard) || state_.shards.contains(shard) || transfers_.is_held_off(shard)) return;
   const ShardRoute& route = state_.routes[shard];
   if (route.revision == 0) {
-    if (shard != state_.self() && state_.now() - route.absent_since < acquisition_delay(shard, route)) return;
+    if (shard != state_.own_host() && state_.now() - route.absent_since < acquisition_delay(shard, route))
+      return;
     acquisition_.start(shard, 0);
-  } else if (route.host == state_.self()) {
+  } else if (route.host == state_.own_host()) {
     // An earlier process on this host led the shard. It has ended, as each host runs one process at a time.
     acquisition_.start(shard, route.revision);
-  } else if (shard == state_.self()) {
+  } else if (shard == state_.own_host()) {
     state_.context.act(PeerSend{route.host, FailbackRequest{shard}});
     next_listing_ = std::min(next_listing_, state_.now() + kUrgentListingInterval);
   }
@@ -141,7 +142,7 @@
     return std::distance(state_.routes.begin(), state_.routes.find(host));
   };
   const auto hosts = static_cast<std::ptrdiff_t>(state_.routes.size());
-  const auto turn = (position_of(state_.self()) + hosts - position_of(shard)) % hosts;
+  const auto turn = (position_of(state_.own_host()) + hosts - position_of(shard)) % hosts;
   Micros delay = kAcquisitionStagger * turn;
   if (!route.ever_held) delay += state_.context.settings.lease_term();
   return delay;
@@ -149,8 +150,8 @@
 
 void ShardLeases::begin_term(const std::string& name, FencingToken token, FencingToken replaced) {
   if (!state_.lease_valid()) return;
-  state_.routes[name] = {state_.self(), state_.context.incarnation, lease_record_revision(token), Micros{0},
-                         true};
+  state_.routes[name] = {state_.own_host(), state_.context.incarnation, lease_record_revision(token),
+                         Micros{0}, true};
   Shard& shard = state_.shards[name];
   shard = Shard{};
   shard.name = name;
@@ -167,7 +168,7 @@
 
 void ShardLeases::fail_back(const std::string& name) {
   Shard* shard = state_.held_shard(name);
-  if (shard == nullptr || name == state_.self() || shard->token_advance.in_flight()) return;
+  if (shard == nullptr || name == state_.own_host() || shard->token_advance.in_flight()) return;
   // If the message is lost, the next list shows a record of this process. This process then acquires the
   // shard again and leads it until the home host repeats its request.
   transfer(*shard, name, TransferReason::failback);
--- a/src/core/model/peer_messages.h
+++ b/src/core/model/peer_messages.h
@@ -95,7 +95,7 @@
   bool store_responsive = false;  ///< whether the key-value store responds to the sender
   /// Number of heartbeats that the sender has received since its last health message from workers of machines
   /// that the receiver owns.
-  std::uint32_t your_heartbeats = 0;
+  std::uint32_t redirected_heartbeats = 0;
 };
 
 /// A machine that does not respond to the sender of a LeaseTransfer, and the tasks that may run on it.
--- a/src/core/provisioning/autoscaler.cpp
+++ b/src/core/provisioning/autoscaler.cpp
@@ -34,7 +34,7 @@
     if (!shard.ready()) continue;
     scale_in_.scale_in(shard);
     if (scale_out_due && !state_.catalogue.empty()) scale_out_.scale_out(shard);
-    if (name == state_.self()) orphan_adoption_.tick(shard);
+    if (name == state_.own_host()) orphan_adoption_.tick(shard);
   }
   if (scale_out_due) next_scale_out_ = state_.now() + kScaleOutInterval;
 }
--- a/src/core/provisioning/scale_out.cpp
+++ b/src/core/provisioning/scale_out.cpp
@@ -12,7 +12,8 @@
 
 std::string ScaleOut::next_idempotency_key() {
   // The incarnation is unique to this process, so no other process ever uses the same key.
-  return state_.self() + "-" + state_.context.incarnation + "-" + std::to_string(++idempotency_key_count_);
+  return state_.own_host() + "-" + state_.context.incarnation + "-" +
+         std::to_string(++idempotency_key_count_);
 }
 
 std::map<Offering, ScaleOut::MachinesWanted> ScaleOut::machines_wanted(Shard& shard) const {
--- a/src/core/state/controller_state.h
+++ b/src/core/state/controller_state.h
@@ -19,10 +19,10 @@
 
 /// The health of a peer, as known to this controller. Times are on the steady clock; -1 means never.
 struct PeerState {
-  Micros heard_at{-1};            ///< when its last health message arrived
+  Micros last_health_at{-1};      ///< when its last health message arrived
   bool store_responsive = false;  ///< the peer reported that the key-value store responds to it
   /// When the peer last reported that it had received heartbeats meant for this controller.
-  Micros our_workers_at{-1};
+  Micros redirected_heartbeats_reported_at{-1};
 };
 
 /// Whether a response that shows a job as unfinished may still be acted on when it arrives.
@@ -45,14 +45,14 @@
   std::map<std::string, std::uint32_t> redirected_heartbeats;
   Micros lease_valid_until{0};  ///< steady clock; the end of this controller's key-value store lease
   FinalStates final_states;
-  std::uint64_t answers_not_acted_on = 0;  ///< number of responses that were outdated or uncertain
+  std::uint64_t responses_not_acted_on = 0;  ///< number of responses that were outdated or uncertain
 
   explicit ControllerState(Context& shared_context) : context(shared_context), store(shared_context) {}
 
   Micros now() const { return context.now; }  ///< steady clock
   bool lease_valid() const { return now() < lease_valid_until; }
   /// The name of this controller's host, which is also the name of its own shard.
-  const std::string& self() const { return context.settings.host; }
+  const std::string& own_host() const { return context.settings.host; }
 
   /// Returns a shard that this controller leads. Null if it does not lead the shard, or must not act for it
   /// because its store lease has expired.
@@ -94,16 +94,16 @@
   void send_to_leader_of(const std::string& shard, PeerMessage message) {
     context.act(PeerSend{leader_of(shard), std::move(message)});
   }
-  /// Returns whether a health message from the host arrived within kPeerSilent. The controller's own host is
+  /// Returns whether a health message from the host arrived within kPeerTimeout. The controller's own host is
   /// always reachable.
   bool reachable(const std::string& host) const {
-    if (host == self()) return true;
+    if (host == own_host()) return true;
     const auto found = peers.find(host);
-    if (found == peers.end() || found->second.heard_at < Micros{0}) return false;
-    return now() - found->second.heard_at < kPeerSilent;
+    if (found == peers.end() || found->second.last_health_at < Micros{0}) return false;
+    return now() - found->second.last_health_at < kPeerTimeout;
   }
   /// A peer that sent no health message for this long is taken to be unreachable.
-  static constexpr Micros kPeerSilent = seconds(3);
+  static constexpr Micros kPeerTimeout = seconds(3);
 
   /// Returns whether a shard may act on a record or response that shows a job as unfinished and results from
   /// a request that this controller made at `requested_at` (steady clock). Every code path that loads a job
@@ -120,7 +120,7 @@
   [[nodiscard]] bool may_act_on(const Shard& shard, const std::string& job, Micros requested_at) {
     const Validity value = validity(shard, job, requested_at);
     if (value == Validity::current) return true;
-    ++answers_not_acted_on;
+    ++responses_not_acted_on;
     context.debug([&] {
       return LogMessage("response not acted on")
           .shard(shard.name)
--- a/src/core/workers/heartbeat_router.cpp
+++ b/src/core/workers/heartbeat_router.cpp
@@ -32,7 +32,7 @@
     return defer(request, heartbeat, received_at);  // the shard is being loaded
   }
   const std::string leader = state_.leader_of(*shard_name);
-  if (leader == state_.self()) return refuse(request);
+  if (leader == state_.own_host()) return refuse(request);
   // A worker that is redirected to a leader that hangs could wait for longer than its lease lasts. Deferring
   // the heartbeat briefly gives the shard time to get a new leader.
   const bool may_defer = state_.now() - received_at < kMaxDeferral;
@@ -47,7 +47,7 @@
   Shard* shard = state_.held_shard(home);
   if (shard == nullptr) {
     const std::string leader = state_.leader_of(home);
-    return leader == state_.self() ? refuse(request) : redirect(request, leader);
+    return leader == state_.own_host() ? refuse(request) : redirect(request, leader);
   }
   if (!shard->ready() || deleted_.contains(heartbeat.machine)) return refuse(request);
   defer(request, heartbeat, received_at);
--- a/tests/sim/jobs_fixture.h
+++ b/tests/sim/jobs_fixture.h
@@ -20,7 +20,7 @@
   /// A peer that is reachable now.
   void add_peer(const std::string& host) {
     context.settings.peers.push_back({host, "z", host + ":1"});
-    state.peers[host].heard_at = context.now;
+    state.peers[host].last_health_at = context.now;
   }
   static JobSpec spec() {
     JobSpec out;
