--- a/src/core/controller/overview.cpp
+++ b/src/core/controller/overview.cpp
@@ -70,13 +70,13 @@
                       {"team", job.spec.team},
                       {"tasks", job.tasks.size()},
                       {"waiting", job.waiting.size()},
-                      {"placed", job.present},
+                      {"placed", job.placement_count},
                       {"done", job.done},
                       {"awards", job.awards.size()},
-                      {"no_room_for", job.overflow},
+                      {"no_room_for", job.tasks_without_capacity},
                       {"share_used_up", job.quota_share_exhausted},
                       {"no_machine_to_rent", job.no_offering},
-                      {"suspect", job.suspect()}});
+                      {"suspect", job.is_suspect()}});
     }
   return rows;
 }
--- a/src/core/controller/shard_loader.cpp
+++ b/src/core/controller/shard_loader.cpp
@@ -70,7 +70,7 @@
     if (record->shard != shard.name) continue;
     if (!state_.may_act_on(shard, record->spec.id, reads.requested_at)) continue;
     // An earlier leader may have started any task of the job on any machine.
-    Jobs::load(shard, *record).unreconciled = true;
+    Jobs::load(shard, *record).may_be_on_unreconciled_machines = true;
   }
   shard.has_unreconciled_jobs = true;
 }
--- a/src/core/jobs/ended_jobs.cpp
+++ b/src/core/jobs/ended_jobs.cpp
@@ -22,7 +22,7 @@
 }
 
 void stop_attempts(ControllerState& state, Shard& shard, const Job& job) {
-  for (std::uint32_t index = 0; job.present > 0 && index < job.tasks.size(); ++index) {
+  for (std::uint32_t index = 0; job.placement_count > 0 && index < job.tasks.size(); ++index) {
     const Task& task = job.tasks[index];
     if (task.state != Task::State::placed) continue;
     stop_attempt(state, shard, {{job.spec.id, index}, task.attempt}, *task.machine);
@@ -39,7 +39,7 @@
     if (found == shard.jobs.end()) continue;
     Job& job = found->second;
     stop_attempts(state, shard, job);
-    if (job.present > 0 || job.finalizing || job.tasks_in_award > 0) {
+    if (job.placement_count > 0 || job.finalizing || job.tasks_in_award > 0) {
       shard.ended_jobs.push_back(std::move(id));
       continue;
     }
--- a/src/core/jobs/job_directory.cpp
+++ b/src/core/jobs/job_directory.cpp
@@ -74,7 +74,7 @@
   Job& job = found->second;
   if (!is_new) return job;
   job.spec = record.spec;
-  job.accepted = record.accepted;
+  job.accepted_at = record.accepted_at;
   job.recorded.assign(record.spec.tasks, false);
   job.tasks.resize(record.spec.tasks);
   job.waiting.reserve(record.spec.tasks);
--- a/src/core/model/records.cpp
+++ b/src/core/model/records.cpp
@@ -185,7 +185,7 @@
 }
 
 Value to_json(const LiveJob& job) {
-  return {{"part", job.shard}, {"spec", spec_to_json(job.spec)}, {"accepted", job.accepted.count()}};
+  return {{"part", job.shard}, {"spec", spec_to_json(job.spec)}, {"accepted", job.accepted_at.count()}};
 }
 ReadResult<LiveJob> live_job(const Value& value) {
   return read_record<LiveJob>(value, [](const Value& in) {
--- a/src/core/model/records.h
+++ b/src/core/model/records.h
@@ -42,7 +42,7 @@
 struct LiveJob {
   std::string shard;  ///< the owner
   JobSpec spec;
-  Micros accepted{0};  ///< wall clock: when the job was accepted
+  Micros accepted_at{0};  ///< wall clock: when the job was accepted
 };
 /// The finished tasks in one chunk of kChunk tasks of a job.
 struct DoneBits {
--- a/src/core/negotiation/award_reader.cpp
+++ b/src/core/negotiation/award_reader.cpp
@@ -26,7 +26,7 @@
 Job make_awarded_job(const records::Award& award) {
   Job job;
   job.spec = award.job.spec;
-  job.accepted = award.job.accepted;
+  job.accepted_at = award.job.accepted_at;
   job.owner = award.owner;
   job.tasks.assign(job.spec.tasks, {Task::State::elsewhere, nullptr, 0});
   job.recorded.assign(job.spec.tasks, false);
@@ -138,8 +138,8 @@
   auto found = shard.jobs.find(id);
   if (found == shard.jobs.end()) {
     Job awarded = make_awarded_job(award);
-    awarded.unreconciled = !shard.ready();
-    shard.has_unreconciled_jobs |= awarded.unreconciled;
+    awarded.may_be_on_unreconciled_machines = !shard.ready();
+    shard.has_unreconciled_jobs |= awarded.may_be_on_unreconciled_machines;
     found = shard.jobs.emplace(id, std::move(awarded)).first;
   }
   Job& job = found->second;
--- a/src/core/negotiation/initiator.cpp
+++ b/src/core/negotiation/initiator.cpp
@@ -78,28 +78,31 @@
 std::vector<Job*> Initiator::jobs_due_for_call(Shard& shard) const {
   std::vector<Job*> due;
   for (const QueueEntry& entry : shard.queue)
-    if (entry.job->overflow > 0 && state_.now() >= entry.job->next_call && entry.job->tasks_in_award == 0)
+    if (entry.job->tasks_without_capacity > 0 && state_.now() >= entry.job->next_call_for_proposals_at &&
+        entry.job->tasks_in_award == 0)
       due.push_back(entry.job);
-  std::stable_sort(due.begin(), due.end(),
-                   [](const Job* a, const Job* b) { return a->next_call < b->next_call; });
+  std::stable_sort(due.begin(), due.end(), [](const Job* a, const Job* b) {
+    return a->next_call_for_proposals_at < b->next_call_for_proposals_at;
+  });
   return due;
 }
 
-/// Returns false, and marks the job as refused, if a call cannot help it or no other shard is reachable.
+/// Returns false, and marks the job as needing machines, if a call cannot help it or no other shard is
+/// reachable.
 bool Initiator::start_call(Shard& shard, Job& job) {
   // For a job whose tasks can't be awarded, a call still serves to find peers that can transfer quota share.
   if (!may_be_awarded(job) && !job.quota_share_exhausted) {
-    job.refused = true;
+    job.needs_machines = true;
     return false;
   }
-  job.next_call = state_.now() + seconds(state_.context.policy.call_again_s);
+  job.next_call_for_proposals_at = state_.now() + seconds(state_.context.policy.call_again_s);
   Negotiation negotiation;
   negotiation.shard = shard.name;
   negotiation.leadership_term = shard.leadership_term;
   negotiation.call = make_call(shard, job);
   negotiation.participants = reachable_shards(shard.name);
   if (negotiation.participants.empty()) {
-    job.refused = true;
+    job.needs_machines = true;
     return false;
   }
   ++counters_.calls;
@@ -122,7 +125,7 @@
   call.from_shard = shard.name;
   call.job = job.spec.id;
   call.team = job.spec.team;
-  call.tasks = job.overflow;
+  call.tasks = job.tasks_without_capacity;
   call.each = job.spec.each;
   call.types = job.spec.types;
   call.zone = job.spec.zone.value_or("");
@@ -172,7 +175,7 @@
   const auto found = shard->jobs.find(negotiation.call.job);
   if (found == shard->jobs.end()) return;
   Job& job = found->second;
-  if (!job.can_start(state_.now()) || job.unreconciled) return;
+  if (!job.can_start(state_.now()) || job.may_be_on_unreconciled_machines) return;
 
   const std::vector<Proposal> feasible = feasible_proposals(negotiation, job);
   if (feasible.empty()) return on_no_feasible_proposal(*shard, job, negotiation);
@@ -210,7 +213,8 @@
   ++call.round;
   call.disclosed = true;
   call.priority = job.spec.priority;
-  call.deadline_in = job.spec.deadline ? std::max(millis(1), job.due() - state_.context.wall) : Micros{0};
+  call.deadline_in =
+      job.spec.deadline ? std::max(millis(1), job.deadline_at() - state_.context.wall) : Micros{0};
   negotiation.participants.clear();
   for (const Proposal& proposal : feasible) negotiation.participants.insert(proposal.shard);
   const std::uint64_t id = call.id;
@@ -219,7 +223,7 @@
 
 void Initiator::on_no_feasible_proposal(Shard& shard, Job& job, const Negotiation& negotiation) {
   ++counters_.infeasible;
-  job.refused = true;
+  job.needs_machines = true;
   if (job.quota_share_exhausted)
     request_quota(shard, job, negotiation);
   else
@@ -239,7 +243,7 @@
   for (const Proposal* donor : donors) {
     if (wanted.fits_in(expected)) return;
     state_.send_to_leader_of(donor->shard, QuotaTransferRequest{donor->shard, shard.name, job.spec.team,
-                                                                wanted - expected, job.accepted});
+                                                                wanted - expected, job.accepted_at});
     expected += donor->free_quota_share;
   }
 }
@@ -248,11 +252,13 @@
 void Initiator::mark_similar_refused(Shard& shard, const Job& refused) {
   for (const QueueEntry& entry : shard.queue) {
     Job& job = *entry.job;
-    if (&job == &refused || job.overflow == 0 || job.tasks_in_award > 0 || job.quota_share_exhausted)
+    if (&job == &refused || job.tasks_without_capacity == 0 || job.tasks_in_award > 0 ||
+        job.quota_share_exhausted)
       continue;
     if (!would_also_be_refused(job, refused)) continue;
-    job.refused = true;
-    job.next_call = std::max(job.next_call, refused.next_call);
+    job.needs_machines = true;
+    job.next_call_for_proposals_at =
+        std::max(job.next_call_for_proposals_at, refused.next_call_for_proposals_at);
   }
 }
 
@@ -268,7 +274,7 @@
       std::min<std::int64_t>({best.tasks, static_cast<std::int64_t>(job.waiting.size()), kMaxTasksPerAward,
                               (best.free_quota_share + spare).holds(each)});
   if (count <= 0) return;
-  job.refused = false;
+  job.needs_machines = false;
   const Quota lacking = at_least_zero(each * count - best.free_quota_share);
 
   AwardedTasks award;
@@ -280,7 +286,7 @@
   const std::size_t max_ranges = state_.context.settings.store_value_bytes / 2 / kMaxRangeBytes;
   TaskSelection selection = select_tasks(job, count, max_ranges);
   award.tasks = std::move(selection.tasks);
-  award.record = {shard.name, std::move(selection.ranges), {shard.name, job.spec, job.accepted}};
+  award.record = {shard.name, std::move(selection.ranges), {shard.name, job.spec, job.accepted_at}};
   job.tasks_in_award += static_cast<std::uint32_t>(award.tasks.size());
   quota_transfer_.start(shard, best.shard, job.spec.team, lacking, std::move(award));
 }
--- a/src/core/negotiation/quota_transfer.cpp
+++ b/src/core/negotiation/quota_transfer.cpp
@@ -121,7 +121,7 @@
   job.tasks_in_award -= static_cast<std::uint32_t>(transfer.award->tasks.size());
   if (applied) {
     job.awards[transfer.award->key] = transfer.to;
-    job.next_call = now;
+    job.next_call_for_proposals_at = now;
     return;
   }
   for (const std::uint32_t index : transfer.award->tasks) job.set_waiting(index);
@@ -225,8 +225,8 @@
     // No share is kept for a job that the unused share is too small for, if the peer's job has waited longer.
     // Otherwise two shards could each keep a share too small for their own job, and neither job would start.
     const Quota each = quota_of(job.spec.each);
-    if (request.waits_since < job.accepted && unused.holds(each) == 0) continue;
-    const auto reserved = job.suspect() ? 1 : static_cast<std::int64_t>(job.waiting.size());
+    if (request.waits_since < job.accepted_at && unused.holds(each) == 0) continue;
+    const auto reserved = job.is_suspect() ? 1 : static_cast<std::int64_t>(job.waiting.size());
     spare -= each * reserved;
   }
   return spare;
--- a/src/core/placement/placer.cpp
+++ b/src/core/placement/placer.cpp
@@ -80,7 +80,7 @@
 
 bool Placer::may_occupy(const Shard& shard, const Job& job, const Machine& machine) const {
   const Settings& settings = state_.context.settings;
-  if (machine.spot || !job.begun() || !settings.best_effort(job.spec)) return true;
+  if (machine.spot || !job.has_begun() || !settings.best_effort(job.spec)) return true;
   return std::any_of(machine.tasks.begin(), machine.tasks.end(), [&](const auto& task) {
     const auto other = shard.jobs.find(task.first.task.job);
     return task.second.wanted && other != shard.jobs.end() && !settings.best_effort(other->second.spec);
@@ -115,7 +115,7 @@
   Machine& machine = *capacity.machine;
   if (!may_occupy(shard, job, machine)) return;
   const Quota each = quota_of(job.spec.each);
-  const bool single_attempt = job.suspect();
+  const bool single_attempt = job.is_suspect();
   while (!job.waiting.empty() && job.spec.each.fits_in(capacity.free) &&
          is_allowed_on(job, machine, tasks_per_zone)) {
     if (!each.fits_in(shard.free_quota_share(job.spec.team))) {
@@ -146,7 +146,7 @@
                    [](const Candidate& a, const Candidate& b) { return a.preference > b.preference; });
   for (const Candidate& candidate : candidates) {
     place_on(shard, job, *candidate.capacity, tasks_per_zone);
-    if (job.waiting.empty() || job.quota_share_exhausted || job.suspect()) return;
+    if (job.waiting.empty() || job.quota_share_exhausted || job.is_suspect()) return;
   }
 }
 
--- a/src/core/placement/preemption.cpp
+++ b/src/core/placement/preemption.cpp
@@ -128,7 +128,7 @@
     : state_(state), shard_(shard), capacities_(std::move(capacities)), remaining_jobs_(kMaxJobsPerPass) {
   const Settings& settings = state_.context.settings;
   for (const auto& [id, job] : shard.jobs) {
-    if (job.present == 0) continue;
+    if (job.placement_count == 0) continue;
     lowest_priority_ = std::min(lowest_priority_, job.spec.priority);
     const std::string& team = job.spec.team;
     if (!over_guarantee_.contains(team) && !shard.used(team).fits_in(guarantee_of(settings, shard, team)))
@@ -152,7 +152,7 @@
 bool PreemptionPass::starts_sooner_where_cached(const Job& job, const TasksPerZone& tasks_per_zone) const {
   if (remaining_jobs_ <= 0 || lowest_priority_ >= job.spec.priority) return false;
   if (job.spec.shape != Shape::service || job.quota_share_exhausted) return false;
-  if (state_.context.wall - job.accepted > kQuickStopTime) return false;
+  if (state_.context.wall - job.accepted_at > kQuickStopTime) return false;
   bool fits_after_stops = false;
   for (const FreeCapacity& capacity : capacities_) {
     const Machine& machine = *capacity.machine;
@@ -204,7 +204,8 @@
   const std::int64_t startable = job.quota_share_exhausted
                                      ? kMaxStopsPerJob
                                      : shard_.free_quota_share(job.spec.team).holds(quota_of(each));
-  const std::int64_t needed = std::min<std::int64_t>({job.overflow, kMaxStopsPerJob, startable});
+  const std::int64_t needed =
+      std::min<std::int64_t>({job.tasks_without_capacity, kMaxStopsPerJob, startable});
   const Quota unused_guarantee =
       guarantee_of(state_.context.settings, shard_, job.spec.team) - shard_.used(job.spec.team);
   std::int64_t within_guarantee = std::min(needed, unused_guarantee.holds(quota_of(each)));
--- a/src/core/placement/queue_order.cpp
+++ b/src/core/placement/queue_order.cpp
@@ -17,13 +17,13 @@
 std::optional<Micros> latest_start(const Job& job, const Objective& objective) {
   switch (objective.kind) {
     case Objective::Kind::wait:
-      return job.accepted + objective.within;
+      return job.accepted_at + objective.within;
     case Objective::Kind::finished:
-      return job.accepted + objective.within - job.spec.estimate;
+      return job.accepted_at + objective.within - job.spec.estimate;
     case Objective::Kind::deadline: {
       if (!job.spec.deadline) return std::nullopt;
       const Micros within = seconds(objective.times * in_seconds(*job.spec.deadline));
-      return job.accepted + within - job.spec.estimate;
+      return job.accepted_at + within - job.spec.estimate;
     }
     case Objective::Kind::guarantee:
       break;  // applies to teams, not to single jobs
@@ -32,20 +32,20 @@
 }
 
 bool first_task_is_overdue(const Job& job, const Context& context) {
-  return job.done == 0 && job.present == 0 &&
-         context.wall - job.accepted > Settings::kLongestWaitForFirstTask;
+  return job.done == 0 && job.placement_count == 0 &&
+         context.wall - job.accepted_at > Settings::kLongestWaitForFirstTask;
 }
 
 auto rank(const QueueEntry& entry) {
   const Job& job = *entry.job;
   return std::tuple(-static_cast<int>(job.spec.priority), entry.missed_objectives, !entry.guaranteed,
-                    entry.start_by, job.accepted, std::string_view(job.spec.id));
+                    entry.start_by, job.accepted_at, std::string_view(job.spec.id));
 }
 
 }  // namespace
 
 Urgency urgency_of(const Job& job, const Context& context) {
-  Urgency urgency{0, job.due()};
+  Urgency urgency{0, job.deadline_at()};
   if (job.spec.shape != Shape::array) return urgency;
   for (const Objective& objective : context.settings.objectives) {
     if (objective.job_class != job.spec.job_class) continue;
@@ -62,7 +62,7 @@
 void rebuild_queue(Shard& shard, const Context& context) {
   shard.queue.clear();
   for (auto& [id, job] : shard.jobs) {
-    job.overflow = 0;
+    job.tasks_without_capacity = 0;
     job.quota_share_exhausted = false;
     if (!shard.may_start(job, context.now)) continue;
     const std::string& team = job.spec.team;
--- a/src/core/placement/queue_order.h
+++ b/src/core/placement/queue_order.h
@@ -18,7 +18,7 @@
 
 /// Rebuilds the shard's queue from the jobs that may start now. The queue is sorted by descending priority,
 /// then by fewest missed objectives, then jobs within the guarantee of their team first, then by earliest
-/// latest start, then by age. Resets the results of the last pass in each job (`overflow`,
+/// latest start, then by age. Resets the results of the last pass in each job (`tasks_without_capacity`,
 /// `quota_share_exhausted`).
 void rebuild_queue(Shard& shard, const Context& context);
 
--- a/src/core/placement/scheduler.cpp
+++ b/src/core/placement/scheduler.cpp
@@ -25,10 +25,10 @@
   return smallest;
 }
 
-std::uint32_t count_overflow(const Job& job) {
-  // A job that is suspected to be faulty needs capacity for one attempt only. With an overflow of zero it
+std::uint32_t count_tasks_without_capacity(const Job& job) {
+  // A job that is suspected to be faulty needs capacity for one attempt only. With a count of zero it
   // would never get a machine.
-  if (job.suspect()) return job.present == 0 && !job.waiting.empty() ? 1 : 0;
+  if (job.is_suspect()) return job.placement_count == 0 && !job.waiting.empty() ? 1 : 0;
   return static_cast<std::uint32_t>(job.waiting.size());
 }
 
@@ -56,9 +56,9 @@
     remove_too_small(capacities, smallest);
     if (!job.waiting.empty() && !quota_of(job.spec.each).fits_in(shard.free_quota_share(job.spec.team)))
       job.quota_share_exhausted = true;
-    job.overflow = count_overflow(job);
-    if (job.overflow == 0) {
-      job.refused = false;
+    job.tasks_without_capacity = count_tasks_without_capacity(job);
+    if (job.tasks_without_capacity == 0) {
+      job.needs_machines = false;
       job.no_offering = false;
     } else if (preemption.may_preempt_for(job)) {
       preemption.preempt_for(entry, tasks_per_zone);
@@ -98,7 +98,7 @@
 bool Scheduler::has_waiting_tasks(const Shard& shard, const CallForProposals& call) {
   return std::any_of(shard.jobs.begin(), shard.jobs.end(), [&](const auto& entry) {
     const Job& job = entry.second;
-    return job.overflow > 0 && !job.quota_share_exhausted &&
+    return job.tasks_without_capacity > 0 && !job.quota_share_exhausted &&
            (!call.disclosed || job.spec.priority >= call.priority);
   });
 }
--- a/src/core/placement/scheduler.h
+++ b/src/core/placement/scheduler.h
@@ -11,8 +11,8 @@
       : state_(state), fleet_(fleet), placer_(state, fleet) {}
 
   /// Runs a scheduling pass: places waiting tasks, preempts others for them where allowed, and stores in each
-  /// job how many of its tasks found no capacity (`overflow`). Does nothing unless the shard has changed
-  /// since the last pass or half a second has passed.
+  /// job how many of its tasks found no capacity (`tasks_without_capacity`). Does nothing unless the shard
+  /// has changed since the last pass or half a second has passed.
   void pass(Shard& shard);
 
   /// Places tasks that were left waiting by the last pass on one machine, so that the response to its
--- a/src/core/provisioning/demand.cpp
+++ b/src/core/provisioning/demand.cpp
@@ -54,11 +54,12 @@
 }
 
 Demand DemandEstimate::demand_of(Job& job, const Quota& free_quota) const {
-  Demand demand{&job, std::min<std::int64_t>(job.overflow, free_quota.holds(quota_of(job.spec.each)))};
+  Demand demand{
+      &job, std::min<std::int64_t>(job.tasks_without_capacity, free_quota.holds(quota_of(job.spec.each)))};
   if (!state_.context.settings.best_effort(job.spec)) return demand;
   demand.best_effort = true;
-  const Micros waiting_for = state_.context.wall - job.accepted;
-  const bool overdue = !job.begun() && waiting_for > Settings::kLongestWaitForFirstTask;
+  const Micros waiting_for = state_.context.wall - job.accepted_at;
+  const bool overdue = !job.has_begun() && waiting_for > Settings::kLongestWaitForFirstTask;
   demand.spot_only = !overdue;
   // Best-effort jobs must begin in time, too: an overdue first task gets a machine at any price.
   if (overdue) demand.tasks = std::min<std::int64_t>(demand.tasks, 1);
@@ -70,7 +71,7 @@
   std::map<std::string, Quota> free_quotas;  // by team
   for (auto& [id, job] : shard.jobs) {
     // The shard's own jobs need a machine only once all peers have refused them.
-    if (job.overflow == 0 || !(job.refused || !job.owner.empty())) continue;
+    if (job.tasks_without_capacity == 0 || !(job.needs_machines || !job.owner.empty())) continue;
     const auto [free_quota, inserted] = free_quotas.try_emplace(job.spec.team);
     if (inserted) free_quota->second = shard.free_quota_share(job.spec.team);
     Demand demand = demand_of(job, free_quota->second);
--- a/src/core/provisioning/scale_in.cpp
+++ b/src/core/provisioning/scale_in.cpp
@@ -66,8 +66,8 @@
     const Job& job = shard.jobs.at(id.task.job);
     // The first task of a job is not stopped while its time to start has not passed: otherwise the job would
     // need another task to start elsewhere within that time.
-    const bool first_task_due = state_.context.wall - job.accepted < Settings::kFirstTaskWithin;
-    if (first_task_due && job.present == 1) continue;
+    const bool first_task_due = state_.context.wall - job.accepted_at < Settings::kFirstTaskWithin;
+    if (first_task_due && job.placement_count == 1) continue;
     shard.change_placement(machine, id, placement, [](Placement& changed) { changed.wanted = false; });
     shard.request_push(machine);
   }
--- a/src/core/state/job.h
+++ b/src/core/state/job.h
@@ -28,10 +28,10 @@
 /// A job that belongs to this shard, or the part of another shard's job whose tasks were awarded to this one.
 struct Job {
   JobSpec spec;
-  Micros accepted{0};  ///< wall clock
-  std::string owner;   ///< the shard that the job belongs to; empty if that is this shard
+  Micros accepted_at{0};  ///< wall clock
+  std::string owner;      ///< the shard that the job belongs to; empty if that is this shard
   /// The job was loaded by a new leader, and its tasks may be on machines that are not reconciled yet.
-  bool unreconciled = false;
+  bool may_be_on_unreconciled_machines = false;
   bool finalizing = false;  ///< the write of its final state is in flight, or its outcome is unknown
   bool ended = false;       ///< none of its tasks may start, and all attempts are to be stopped
   std::vector<Task> tasks;
@@ -39,7 +39,7 @@
   std::uint32_t done = 0;              ///< number of tasks in state `done`
   std::vector<bool> recorded;          ///< by task index: its completion is recorded in the key-value store
   std::vector<std::uint32_t> unrecorded;  ///< indexes of done tasks not yet recorded in the key-value store
-  std::uint32_t present = 0;              ///< number of its placements that take resources
+  std::uint32_t placement_count = 0;      ///< number of its placements that take resources
   std::set<std::string> failed_on;        ///< names of the machines on which a task of the job failed
   bool succeeded = false;                 ///< at least one task is done
   Micros retry_at{0};  ///< steady clock; no task is started, and the job not ended as done, before this
@@ -50,29 +50,29 @@
   /// Winning shards by the key of the award record. At the owner: all awards of the job's tasks. At any other
   /// shard: the awards to that shard.
   std::map<std::string, std::string> awards;
-  std::uint32_t tasks_in_award = 0;  ///< at the owner: number of tasks in award writes in flight
-  Micros next_call{0};               ///< steady clock; the earliest time of the next call for proposals
+  std::uint32_t tasks_in_award = 0;      ///< at the owner: number of tasks in award writes in flight
+  Micros next_call_for_proposals_at{0};  ///< steady clock; the earliest time of the next call for proposals
   /// The last call for proposals found no capacity in other shards, or no call can be made, so that machines
   /// have to be created.
-  bool refused = false;
+  bool needs_machines = false;
 
   // ---- results of the last scheduling pass and the last scale-out
 
-  std::uint32_t overflow = 0;          ///< number of tasks for which this shard has no capacity
-  bool quota_share_exhausted = false;  ///< the shard's share of the team's quota allows no more tasks
+  std::uint32_t tasks_without_capacity = 0;  ///< number of tasks for which this shard has no capacity
+  bool quota_share_exhausted = false;        ///< the shard's share of the team's quota allows no more tasks
   /// Tasks may be placed only on machines that cache the image: once lower-priority tasks there have stopped,
   /// the job starts sooner than it would anywhere else after a fetch.
   bool only_where_cached = false;
   bool no_offering = false;  ///< the cloud currently offers no machine that suits the job
 
   /// Returns whether any task has been placed or is done.
-  bool begun() const { return done > 0 || present > 0 || waiting.size() < tasks.size(); }
+  bool has_begun() const { return done > 0 || placement_count > 0 || waiting.size() < tasks.size(); }
   bool can_start(Micros now) const { return !ended && !finalizing && !waiting.empty() && now >= retry_at; }
   /// Returns whether the job itself is presumed faulty, because it failed on two or more machines and no task
   /// of it succeeded. Such a job is limited to one attempt at a time.
-  bool suspect() const { return !succeeded && failed_on.size() >= 2; }
+  bool is_suspect() const { return !succeeded && failed_on.size() >= 2; }
   /// Wall clock; Micros::max() if the job has no deadline.
-  Micros due() const { return spec.deadline ? accepted + *spec.deadline : Micros::max(); }
+  Micros deadline_at() const { return spec.deadline ? accepted_at + *spec.deadline : Micros::max(); }
 
   void set_waiting(std::uint32_t index) {
     tasks[index] = {};
--- a/src/core/state/shard.cpp
+++ b/src/core/state/shard.cpp
@@ -51,7 +51,7 @@
     if (!machine_sums_are_consistent(machine)) return false;
   std::map<std::string, std::uint32_t> present = count_placements_by_job(*this);
   for (const auto& [id, job] : jobs)
-    if (job.present != present[id]) return false;
+    if (job.placement_count != present[id]) return false;
   QuotaUsage usage = recompute_usage(*this);
   for (const auto& [team, sum] : quota.usage.by_team)
     if (sum != usage.by_team[team]) return false;
--- a/src/core/state/shard.h
+++ b/src/core/state/shard.h
@@ -101,7 +101,7 @@
   /// since the queue was built, a leadership term may have ended and another begun without any response from
   /// the key-value store.
   bool may_start(const Job& job, Micros now) const {
-    return job.can_start(now) && !job.unreconciled && !award_is_stale(job, now);
+    return job.can_start(now) && !job.may_be_on_unreconciled_machines && !award_is_stale(job, now);
   }
   /// Returns a number that is unique among all attempts ever made, since fencing tokens are unique and grow.
   std::uint64_t next_attempt() { return (fencing_token.value() << 16) + ++attempt_count; }
@@ -176,7 +176,7 @@
     if (machine.reconciled) *placement.usage += quota_of(placement.each) * sign;
     if (!placement.of_known_job) return;
     if (const auto job = jobs.find(id.task.job); job != jobs.end())
-      job->second.present += static_cast<std::uint32_t>(sign);
+      job->second.placement_count += static_cast<std::uint32_t>(sign);
   }
 };
 
--- a/src/core/workers/fleet.cpp
+++ b/src/core/workers/fleet.cpp
@@ -51,7 +51,7 @@
 void Fleet::finish_reconciliation(Shard& shard) {
   shard.has_unreconciled_jobs = false;
   state_.context.info(LogMessage("shard reconciled").shard(shard.name));
-  for (auto& [id, job] : shard.jobs) job.unreconciled = false;
+  for (auto& [id, job] : shard.jobs) job.may_be_on_unreconciled_machines = false;
   shard.request_scheduling_pass();
 }
 
--- a/src/core/workers/task_tracker.cpp
+++ b/src/core/workers/task_tracker.cpp
@@ -146,7 +146,7 @@
   ++job.failures;
   job.failed_on.insert(machine.name);
   if (job.failed_on.size() > kMaxFailedMachinesPerJob) job.failed_on.erase(job.failed_on.begin());
-  if (job.suspect()) {
+  if (job.is_suspect()) {
     const Micros delay = kFirstRetry * (1 << std::min(job.failures, kMaxRetryDoublings));
     job.retry_at = state_.now() + std::min(kLongestRetry, delay);
     return;
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -36,7 +36,7 @@
            std::uint32_t tasks) {
     records::LiveJob record;
     record.shard = "a";
-    record.accepted = context.wall;
+    record.accepted_at = context.wall;
     record.spec.id = id;
     record.spec.team = team;
     record.spec.job_class = team;
@@ -52,7 +52,7 @@
   }
   /// The creations that one tick of the autoscaler asks for, once no peer has capacity for any job.
   std::vector<CreateMachines> creations() {
-    for (auto& [id, job] : shard.jobs) job.refused = true;
+    for (auto& [id, job] : shard.jobs) job.needs_machines = true;
     std::vector<CreateMachines> out;
     for (const CloudCall& call : at<CloudCall>(in_seconds(context.now) + 1, [&] { autoscaler.tick(); }))
       if (auto* creation = std::get_if<CreateMachines>(&call.request)) out.push_back(*creation);
@@ -72,7 +72,7 @@
     Machine& busy = test.add_machine("busy");
     Job& batch = test.add("run-1", "t", Shape::array, Priority::normal, 2);
     test.pass();
-    ASSERT_EQ(batch.present, 2u);
+    ASSERT_EQ(batch.placement_count, 2u);
     if (!cached) busy.images.clear();
     Machine& empty = test.add_machine("empty");
     test.add("run-2", "t", Shape::service, Priority::production, 1);
@@ -115,7 +115,7 @@
 
 TEST(BestEffort, GetsAnOnDemandMachineForItsFirstTaskOnceItIsOverdue) {
   ScalingShard test;
-  test.add("run-1", "guests", Shape::array, Priority::low, 40).accepted = test.context.wall - seconds(121);
+  test.add("run-1", "guests", Shape::array, Priority::low, 40).accepted_at = test.context.wall - seconds(121);
   test.autoscaler.on_capacity_exhausted({"small", "z", true});
   test.pass();
   const std::vector<CreateMachines> creations = test.creations();
@@ -127,9 +127,9 @@
   ScalingShard test;
   Machine& machine = test.add_machine("m");
   Job& guest = test.add("run-1", "guests", Shape::array, Priority::low, 1);
-  guest.accepted = test.context.wall - seconds(500);
+  guest.accepted_at = test.context.wall - seconds(500);
   test.pass();
-  ASSERT_EQ(guest.present, 1u);
+  ASSERT_EQ(guest.placement_count, 1u);
   machine.needed_at = test.context.now;
   test.creations();
   EXPECT_TRUE(machine.tasks.begin()->second.wanted) << "other work may still need it";
--- a/tests/records_test.cpp
+++ b/tests/records_test.cpp
@@ -14,7 +14,7 @@
   job.spec.tasks = 3;
   job.spec.zone = "z1";
   job.spec.deadline = seconds(60);
-  job.accepted = seconds(1000);
+  job.accepted_at = seconds(1000);
   return job;
 }
 
--- a/tests/sim/simulated_cluster.cpp
+++ b/tests/sim/simulated_cluster.cpp
@@ -86,7 +86,8 @@
   for (const auto& host : controllers_.hosts())
     for (const auto& [name, shard] : host->core->state().shards)
       for (const auto& [id, job] : shard.jobs)
-        if (job.overflow > 0 && !job.refused && !job.quota_share_exhausted) ids.insert(id);
+        if (job.tasks_without_capacity > 0 && !job.needs_machines && !job.quota_share_exhausted)
+          ids.insert(id);
   return ids;
 }
 
