--- a/src/core/placement/preemption.cpp
+++ b/src/core/placement/preemption.cpp
@@ -33,13 +33,13 @@
     reserve(capacity);
     const std::vector<Candidate> candidates = candidates_on(*capacity.machine);
     Resources obtainable = capacity.free + capacity.being_released;
-    for (const Candidate& candidate : candidates) obtainable += candidate.placement->each;
+    for (const Candidate& candidate : candidates) obtainable += candidate.placement->resources;
     if (!job_.spec.each.fits_in(obtainable)) return;
     for (const Candidate& candidate : candidates) {
       if (is_satisfied()) return;
       if (!may_stop(*candidate.job)) continue;
       stop(*capacity.machine, candidate);
-      capacity.being_released += candidate.placement->each;
+      capacity.being_released += candidate.placement->resources;
       reserve(capacity);
     }
   }
@@ -111,7 +111,7 @@
           .why(by_priority ? "needed by a job of higher priority"
                            : "needed for the guarantee of another team");
     });
-    stopped_[candidate.job->spec.team] += quota_of(candidate.placement->each);
+    stopped_[candidate.job->spec.team] += quota_of(candidate.placement->resources);
   }
 
   ControllerState& state_;
@@ -172,7 +172,7 @@
     const auto other = shard_.jobs.find(id.task.job);
     if (!can_be_stopped(placement) || other == shard_.jobs.end()) continue;
     const JobSpec& spec = other->second.spec;
-    if (spec.priority < job.spec.priority && spec.save <= kQuickStopTime) free += placement.each;
+    if (spec.priority < job.spec.priority && spec.save <= kQuickStopTime) free += placement.resources;
   }
   return free;
 }
--- a/src/core/state/machine.h
+++ b/src/core/state/machine.h
@@ -27,14 +27,14 @@
   auto operator<=>(const AttemptId&) const = default;
 };
 
-/// An attempt that is, or may be, on a machine. `wanted`, `seen` and `each` must be changed only through
-/// Shard::change_placement, which updates the sums. Times are on the steady clock.
+/// An attempt that is, or may be, on a machine. `wanted`, `reported_state` and `resources` must be changed
+/// only through Shard::change_placement, which updates the sums. Times are on the steady clock.
 struct Placement {
-  enum class Seen : std::uint8_t { no, fetching, running, saving, ended };
-  bool wanted = true;    ///< false once the attempt is to be stopped
-  Seen seen = Seen::no;  ///< the state that the worker last reported
+  enum class ReportedState : std::uint8_t { no, fetching, running, saving, ended };
+  bool wanted = true;                                ///< false once the attempt is to be stopped
+  ReportedState reported_state = ReportedState::no;  ///< the state that the worker last reported
   ExitCause cause = ExitCause::none;
-  Resources each;          ///< resources that the task takes
+  Resources resources;     ///< resources that the task takes
   Quota* usage = nullptr;  ///< the sum that includes it: that of its team, or that of unknown jobs
   bool of_known_job = false;
   bool of_service = false;
@@ -48,7 +48,7 @@
   StartDelivery start;
 
   /// Returns whether the attempt takes resources of its machine.
-  bool takes_resources() const { return seen != Seen::ended; }
+  bool takes_resources() const { return reported_state != ReportedState::ended; }
 };
 
 /// A machine owned by a shard, as known to the leader. Times are on the steady clock unless noted otherwise.
@@ -91,7 +91,7 @@
     Resources released;
     for (const auto& [id, placement] : tasks)
       if (placement.takes_resources() && (!placement.wanted || placement.ends_at <= when))
-        released += placement.each;
+        released += placement.resources;
     return released;
   }
 };
--- a/src/core/state/shard.cpp
+++ b/src/core/state/shard.cpp
@@ -10,8 +10,8 @@
   int services = 0;
   for (const auto& [id, placement] : machine.tasks) {
     if (!placement.takes_resources()) continue;
-    used += placement.each;
-    if (!placement.wanted) being_released += placement.each;
+    used += placement.resources;
+    if (!placement.wanted) being_released += placement.resources;
     if (placement.of_service) ++services;
   }
   return used == machine.used && being_released == machine.being_released && services == machine.services;
@@ -29,7 +29,7 @@
       const auto job = shard.jobs.find(id.task.job);
       const bool team_known = placement.of_known_job && job != shard.jobs.end();
       Quota& sum = team_known ? usage.by_team[job->second.spec.team] : usage.by_unknown_jobs;
-      sum += quota_of(placement.each);
+      sum += quota_of(placement.resources);
     }
   }
   return usage;
--- a/src/core/state/shard.h
+++ b/src/core/state/shard.h
@@ -129,12 +129,12 @@
     placement.of_known_job = job != nullptr;
     if (job == nullptr) {
       placement.of_service = false;
-      placement.each = machine.size;
+      placement.resources = machine.size;
       placement.usage = &quota.usage.by_unknown_jobs;
       return;
     }
     placement.of_service = job->spec.shape == Shape::service;
-    placement.each = job->spec.each;
+    placement.resources = job->spec.each;
     placement.image = job->spec.image;
     placement.image_gb = job->spec.image_gb;
     placement.usage = &quota.usage.by_team[job->spec.team];
@@ -158,7 +158,7 @@
       return;
     }
     for (const auto& [id, placement] : machine.tasks)
-      if (placement.takes_resources()) *placement.usage += quota_of(placement.each) * sign;
+      if (placement.takes_resources()) *placement.usage += quota_of(placement.resources) * sign;
   }
 
   Quota used(const std::string& team) const { return quota.usage.of(team); }
@@ -170,10 +170,10 @@
  private:
   void count(Machine& machine, const AttemptId& id, const Placement& placement, int sign) {
     if (!placement.takes_resources()) return;
-    machine.used += placement.each * sign;
-    if (!placement.wanted) machine.being_released += placement.each * sign;
+    machine.used += placement.resources * sign;
+    if (!placement.wanted) machine.being_released += placement.resources * sign;
     if (placement.of_service) machine.services += sign;
-    if (machine.reconciled) *placement.usage += quota_of(placement.each) * sign;
+    if (machine.reconciled) *placement.usage += quota_of(placement.resources) * sign;
     if (!placement.of_known_job) return;
     if (const auto job = jobs.find(id.task.job); job != jobs.end())
       job->second.placement_count += static_cast<std::uint32_t>(sign);
--- a/src/core/workers/command_builder.cpp
+++ b/src/core/workers/command_builder.cpp
@@ -32,12 +32,13 @@
   std::vector<Command> starts;
   for (auto& [id, placement] : machine.tasks) {
     Job* job = shard.job_of(id.task);
-    if (placement.seen == Placement::Seen::ended) {
+    if (placement.reported_state == Placement::ReportedState::ended) {
       if (may_be_forgotten(job, id, placement))
         forgets.push_back({Command::Kind::forget, id.task, id.attempt, {}});
     } else if (!placement.wanted) {
-      if (placement.seen != Placement::Seen::no) stops.push_back(stop_command(shard, job, id, placement));
-    } else if (placement.seen == Placement::Seen::no && placement.start.may_be_sent() &&
+      if (placement.reported_state != Placement::ReportedState::no)
+        stops.push_back(stop_command(shard, job, id, placement));
+    } else if (placement.reported_state == Placement::ReportedState::no && placement.start.may_be_sent() &&
                starts.size() < kStartsPerMessage && may_send_start(shard, job, id)) {
       starts.push_back({Command::Kind::start, id.task, id.attempt, {}});
       if (replied_heartbeat != 0) placement.start.sent_in_reply(replied_heartbeat);
--- a/src/core/workers/fleet_handover.cpp
+++ b/src/core/workers/fleet_handover.cpp
@@ -12,7 +12,7 @@
   std::vector<TaskStatus> statuses;
   for (const auto& [id, placement] : machine.tasks) {
     if (!placement.takes_resources()) continue;
-    const bool saving = placement.seen == Placement::Seen::saving;
+    const bool saving = placement.reported_state == Placement::ReportedState::saving;
     statuses.push_back({id.task, id.attempt, saving ? TaskPhase::saving : TaskPhase::running, {}});
   }
   return statuses;
--- a/src/core/workers/fleet_pushes.cpp
+++ b/src/core/workers/fleet_pushes.cpp
@@ -11,8 +11,9 @@
   if (!machine.reconciled || machine.acknowledgements.any_evidence()) return true;
   return std::any_of(machine.tasks.begin(), machine.tasks.end(), [](const auto& entry) {
     const Placement& placement = entry.second;
-    if (placement.wanted) return placement.seen == Placement::Seen::no && placement.start.unsent();
-    return placement.takes_resources() && placement.seen != Placement::Seen::no &&
+    if (placement.wanted)
+      return placement.reported_state == Placement::ReportedState::no && placement.start.unsent();
+    return placement.takes_resources() && placement.reported_state != Placement::ReportedState::no &&
            placement.stop_requested_at == Micros{0};
   });
 }
--- a/src/core/workers/fleet_statuses.cpp
+++ b/src/core/workers/fleet_statuses.cpp
@@ -79,7 +79,7 @@
   for (const auto& [id, placement] : machine.tasks) {
     const bool listed = placement.last_listed_in == status.sequence_number;
     if (!placement.start.was_in_reply_to(replied_heartbeat)) continue;
-    if (!listed && placement.seen != Placement::Seen::no) continue;
+    if (!listed && placement.reported_state != Placement::ReportedState::no) continue;
     effect.expected = true;
     effect.seen &= listed;
   }
@@ -102,7 +102,7 @@
   std::vector<AttemptId> absent;
   for (const auto& [id, placement] : machine.tasks) {
     if (placement.last_listed_in == sequence_number || placement.start.push_may_take_effect()) continue;
-    const bool was_there = placement.seen != Placement::Seen::no;
+    const bool was_there = placement.reported_state != Placement::ReportedState::no;
     const bool never_took_effect = !placement.wanted && placement.start.last_reply_precedes(sequence_number);
     if (was_there || never_took_effect) absent.push_back(id);
   }
--- a/src/core/workers/task_tracker.cpp
+++ b/src/core/workers/task_tracker.cpp
@@ -12,18 +12,18 @@
 constexpr Micros kLongestRetry = seconds(30);
 constexpr int kMaxRetryDoublings = 5;
 
-Placement::Seen seen_as(TaskPhase phase) {
+Placement::ReportedState seen_as(TaskPhase phase) {
   switch (phase) {
     case TaskPhase::fetching:
-      return Placement::Seen::fetching;
+      return Placement::ReportedState::fetching;
     case TaskPhase::running:
-      return Placement::Seen::running;
+      return Placement::ReportedState::running;
     case TaskPhase::saving:
-      return Placement::Seen::saving;
+      return Placement::ReportedState::saving;
     case TaskPhase::exited:
       break;
   }
-  return Placement::Seen::ended;
+  return Placement::ReportedState::ended;
 }
 
 /// Returns whether the task is placed on this machine as this attempt.
@@ -43,11 +43,11 @@
   if (!placement.of_known_job && job != nullptr)
     shard.change_placement(machine, id, placement,
                            [&](Placement& changed) { shard.assign_to_job(changed, machine, job); });
-  const Placement::Seen seen = seen_as(status.phase);
-  if (seen == placement.seen) return;
-  shard.change_placement(machine, id, placement, [&](Placement& changed) { changed.seen = seen; });
-  if (seen == Placement::Seen::running) on_running(machine, placement, job);
-  if (seen == Placement::Seen::ended) {
+  const Placement::ReportedState seen = seen_as(status.phase);
+  if (seen == placement.reported_state) return;
+  shard.change_placement(machine, id, placement, [&](Placement& changed) { changed.reported_state = seen; });
+  if (seen == Placement::ReportedState::running) on_running(machine, placement, job);
+  if (seen == Placement::ReportedState::ended) {
     placement.cause = status.cause;
     on_attempt_ended(shard, machine, id, placement);
   }
