--- a/src/core/model/records.cpp
+++ b/src/core/model/records.cpp
@@ -216,12 +216,12 @@
 Value to_json(const std::vector<OwnedMachine>& machines) {
   Value out = Value::array();
   for (const OwnedMachine& machine : machines)
-    out.push_back(
-        {machine.name, machine.type, machine.zone, machine.spot, machine.address, machine.rented_at.count()});
+    out.push_back({machine.name, machine.type, machine.zone, machine.spot, machine.address,
+                   machine.created_at.count()});
   return out;
 }
 std::size_t owned_machine_bytes(const OwnedMachine& machine) {
-  constexpr std::size_t overhead_bytes = 48;     // quotes, commas, brackets, the spot flag and rented_at
+  constexpr std::size_t overhead_bytes = 48;     // quotes, commas, brackets, the spot flag and created_at
   constexpr std::size_t max_address_bytes = 24;  // reserved because the address may be added later
   return machine.name.size() + machine.type.size() + machine.zone.size() +
          std::max(machine.address.size(), max_address_bytes) + overhead_bytes;
--- a/src/core/model/records.h
+++ b/src/core/model/records.h
@@ -62,8 +62,8 @@
   std::string type;
   std::string zone;
   bool spot = false;
-  std::string address;  ///< empty until its worker has sent a heartbeat
-  Micros rented_at{0};  ///< wall clock: when the machine was created
+  std::string address;   ///< empty until its worker has sent a heartbeat
+  Micros created_at{0};  ///< wall clock: when the machine was created
 };
 
 inline std::string lease_key(const std::string& shard) { return "hold/" + shard; }
--- a/src/core/ownership/machine_ownership_writes.cpp
+++ b/src/core/ownership/machine_ownership_writes.cpp
@@ -10,7 +10,7 @@
 constexpr std::size_t kBlocksPerWrite = 4;
 
 records::OwnedMachine record_of(const Machine& machine) {
-  return {machine.name, machine.type, machine.zone, machine.spot, machine.address, machine.rented_at};
+  return {machine.name, machine.type, machine.zone, machine.spot, machine.address, machine.created_at};
 }
 
 }  // namespace
--- a/src/core/provisioning/demand.cpp
+++ b/src/core/provisioning/demand.cpp
@@ -23,17 +23,17 @@
   NewestRunning newest;
   for (const auto& [name, machine] : shard.machines)
     if (machine.liveness.status_received)
-      newest[machine.type] = std::max(newest[machine.type], machine.rented_at);
+      newest[machine.type] = std::max(newest[machine.type], machine.created_at);
   return newest;
 }
 
 bool DemandEstimate::is_expected_to_boot(const Machine& machine, const MachineType& type,
                                          const NewestRunning& newest) const {
-  const Micros age = state_.context.wall - machine.rented_at;
+  const Micros age = state_.context.wall - machine.created_at;
   if (age <= type.boot * 8 / 5 + kBootMargin) return true;
   if (!fleet_.booting(machine)) return false;
   const auto newest_of_type = newest.find(machine.type);
-  return newest_of_type == newest.end() || newest_of_type->second < machine.rented_at;
+  return newest_of_type == newest.end() || newest_of_type->second < machine.created_at;
 }
 
 std::vector<Bin> DemandEstimate::future_bins(const Shard& shard) const {
--- a/src/core/provisioning/scale_in.cpp
+++ b/src/core/provisioning/scale_in.cpp
@@ -43,7 +43,7 @@
 
 bool ScaleIn::is_idle_long_enough(const Machine& machine) const {
   return state_.now() - machine.idle_since >= seconds(state_.context.policy.idle_return_s) &&
-         state_.context.wall - machine.rented_at >= kMinBilledTime;
+         state_.context.wall - machine.created_at >= kMinBilledTime;
 }
 
 bool ScaleIn::has_only_best_effort(const Shard& shard, const Machine& machine) const {
@@ -58,10 +58,10 @@
 void ScaleIn::drain_best_effort(Shard& shard, Machine& machine) const {
   if (machine.spot) return;
   if (!has_only_best_effort(shard, machine)) {
-    machine.needed_at = state_.now();
+    machine.last_needed_at = state_.now();
     return;
   }
-  if (state_.now() - machine.needed_at < seconds(state_.context.policy.idle_return_s)) return;
+  if (state_.now() - machine.last_needed_at < seconds(state_.context.policy.idle_return_s)) return;
   for (auto& [id, placement] : machine.tasks) {
     const Job& job = shard.jobs.at(id.task.job);
     // The first task of a job is not stopped while its time to start has not passed: otherwise the job would
--- a/src/core/state/machine.h
+++ b/src/core/state/machine.h
@@ -62,7 +62,7 @@
   Resources used;                     ///< by attempts that take resources
   Resources being_released;           ///< the part of `used` taken by attempts that are no longer wanted
   int services = 0;                   ///< number of service tasks, which run until they are cancelled
-  Micros rented_at{0};                ///< wall clock
+  Micros created_at{0};               ///< wall clock
   std::uint32_t ownership_block = 0;  ///< number of the ownership record that names the machine
   bool in_use = false;  ///< the ownership record contains the address; no task may be started before that
 
@@ -71,7 +71,7 @@
   MachineLifecycle lifecycle;
   bool reconciled = false;  ///< all its tasks are known: a status was received, or its lease expired
   Micros idle_since{0};
-  Micros needed_at{0};                ///< when it last had a task that is not best-effort
+  Micros last_needed_at{0};           ///< when it last had a task that is not best-effort
   std::set<std::string> failed_jobs;  ///< ids of jobs whose tasks failed on it since its last success
   bool push_in_flight = false;        ///< a pushed command request to it is in flight
   bool push_pending = false;          ///< it is in Shard::machines_to_push_to
@@ -104,7 +104,7 @@
   machine.zone = record.zone;
   machine.spot = record.spot;
   machine.address = record.address;
-  machine.rented_at = record.rented_at;
+  machine.created_at = record.created_at;
   machine.in_use = !record.address.empty();
   return machine;
 }
--- a/src/core/workers/failure_detector.cpp
+++ b/src/core/workers/failure_detector.cpp
@@ -57,7 +57,7 @@
 
 bool FailureDetector::booting(const Machine& machine) const {
   const MachineType* type = state_.machine_type(machine.type);
-  return type == nullptr || state_.context.wall - machine.rented_at <= type->boot * 5 / 2 + kBootSlack;
+  return type == nullptr || state_.context.wall - machine.created_at <= type->boot * 5 / 2 + kBootSlack;
 }
 
 void FailureDetector::check(Shard& shard) {
--- a/src/core/workers/fleet_statuses.cpp
+++ b/src/core/workers/fleet_statuses.cpp
@@ -63,9 +63,9 @@
 
 void Fleet::apply_preemption_notice(const Shard& shard, Machine& machine, const Heartbeat& status) const {
   if (!status.preemption_notice) return;
-  if (!machine.lifecycle.preemption_notice_until)
+  if (!machine.lifecycle.preemption_at)
     state_.context.info(LogMessage("preemption notice").shard(shard.name).machine(machine.name));
-  machine.lifecycle.preemption_notice_until = state_.now() + *status.preemption_notice;
+  machine.lifecycle.preemption_at = state_.now() + *status.preemption_notice;
 }
 
 /// Returns the expected effect of the last reply, and whether the status shows it: a higher fencing token,
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -130,7 +130,7 @@
   guest.accepted_at = test.context.wall - seconds(500);
   test.pass();
   ASSERT_EQ(guest.placement_count, 1u);
-  machine.needed_at = test.context.now;
+  machine.last_needed_at = test.context.now;
   test.creations();
   EXPECT_TRUE(machine.tasks.begin()->second.wanted) << "other work may still need it";
   test.context.now += seconds(30);
