--- a/src/core/state/acknowledgements.h
+++ b/src/core/state/acknowledgements.h
@@ -17,16 +17,16 @@
   static constexpr int kStrongEvidence = 2;  ///< weight if several messages cannot have arrived
 
   /// Total weight of the evidence since the last acknowledgement that no message arrives.
-  int missed() const { return missed_; }
+  int evidence_weight() const { return evidence_weight_; }
   /// Returns whether the machine is taken to be unreachable. A single message may arrive late at any time, so
   /// one piece of evidence is not enough.
-  bool unreachable() const { return missed_ >= kMissedLimit; }
+  bool unreachable() const { return evidence_weight_ >= kUnreachableWeight; }
   /// Returns whether the machine is unreachable or one more piece of evidence may make it so.
-  bool doubtful() const { return missed_ >= kMissedLimit - 1; }
-  bool any_evidence() const { return missed_ > 0 || lost_pushes_ > 0; }
-  void add_missed(int weight) { missed_ += weight; }
-  void clear_missed() {
-    missed_ = 0;
+  bool suspected_unreachable() const { return evidence_weight_ >= kUnreachableWeight - 1; }
+  bool has_evidence() const { return evidence_weight_ > 0 || lost_pushes_ > 0; }
+  void add_evidence(int weight) { evidence_weight_ += weight; }
+  void clear_evidence() {
+    evidence_weight_ = 0;
     lost_pushes_ = 0;
     push_lost_ = false;
   }
@@ -54,7 +54,7 @@
   std::uint64_t replied_heartbeat() const { return replied_heartbeat_; }
   FencingToken reply_token() const { return reply_token_; }
   Micros reply_sent_at() const { return reply_sent_at_; }
-  void forget_reply() { replied_heartbeat_ = 0; }
+  void clear_reply() { replied_heartbeat_ = 0; }
 
   // ---- pushed commands ---------------------------------------------------------------------------------
 
@@ -65,16 +65,16 @@
     if (token_sent_at_ == sent_at) token_sent_at_.reset();
   }
   /// Returns whether a push was lost since the last heartbeat, and resets that. Called for each heartbeat.
-  bool take_push_lost() { return std::exchange(push_lost_, false); }
+  bool consume_push_lost() { return std::exchange(push_lost_, false); }
   /// Counts a lost push that was followed by a heartbeat. Returns true if there have been enough of them to
   /// be evidence.
   bool count_lost_push() { return ++lost_pushes_ >= kLostPushLimit; }
 
  private:
-  static constexpr int kMissedLimit = 3;
+  static constexpr int kUnreachableWeight = 3;
   static constexpr int kLostPushLimit = 2;
 
-  int missed_ = 0;
+  int evidence_weight_ = 0;
   int lost_pushes_ = 0;  ///< consecutive lost pushes, each followed by a heartbeat
   bool push_lost_ = false;
   std::optional<Micros> token_sent_at_;
--- a/src/core/state/machine.h
+++ b/src/core/state/machine.h
@@ -84,7 +84,7 @@
   /// incarnation are ignored from now on.
   void begin_incarnation(std::uint64_t number) {
     liveness.begin_incarnation(number);
-    acknowledgements.forget_reply();
+    acknowledgements.clear_reply();
   }
   /// Returns the resources of attempts that are no longer wanted or are expected to end by `when`.
   Resources released_by(Micros when) const {
--- a/src/core/workers/failure_detector.cpp
+++ b/src/core/workers/failure_detector.cpp
@@ -34,14 +34,14 @@
 /// follow. The machine is sent another push as soon as a heartbeat arrives. If that push is lost too and the
 /// next heartbeat arrives, the machine probably receives nothing.
 void FailureDetector::count_lost_push(Shard& shard, Machine& machine) {
-  if (!machine.acknowledgements.take_push_lost()) return;
+  if (!machine.acknowledgements.consume_push_lost()) return;
   shard.request_push(machine);
   if (machine.acknowledgements.count_lost_push())
     add_missed_acknowledgement(shard, machine, Acknowledgements::kStrongEvidence);
 }
 
 void FailureDetector::add_missed_acknowledgement(Shard& shard, Machine& machine, int weight) {
-  machine.acknowledgements.add_missed(weight);
+  machine.acknowledgements.add_evidence(weight);
   shard.request_push(machine);
 }
 
@@ -49,7 +49,7 @@
   const Micros now = state_.now();
   const Liveness& liveness = machine.liveness;
   return liveness.status_received && machine.reconciled && machine.in_use && !liveness.lease_expired &&
-         machine.lifecycle.accepts_tasks(now) && !machine.acknowledgements.doubtful() &&
+         machine.lifecycle.accepts_tasks(now) && !machine.acknowledgements.suspected_unreachable() &&
          // A machine whose heartbeats do not arrive may still receive commands, but these do not renew its
          // lease.
          now - liveness.last_contact() <= state_.context.settings.heartbeat_interval * 2 + kHeartbeatSlack;
--- a/src/core/workers/fleet_pushes.cpp
+++ b/src/core/workers/fleet_pushes.cpp
@@ -8,7 +8,7 @@
 /// Returns whether the machine needs commands, a fencing token or a check that should not wait for its next
 /// heartbeat.
 bool Fleet::needs_push(const Machine& machine) {
-  if (!machine.reconciled || machine.acknowledgements.any_evidence()) return true;
+  if (!machine.reconciled || machine.acknowledgements.has_evidence()) return true;
   return std::any_of(machine.tasks.begin(), machine.tasks.end(), [](const auto& entry) {
     const Placement& placement = entry.second;
     if (placement.wanted)
@@ -110,7 +110,7 @@
   } else if (is_trusted(shard, status) && machine.liveness.is_newer_status(status)) {
     apply_status(shard, machine, status, StatusSource::command_response);
   }
-  machine.acknowledgements.clear_missed();  // the request arrived, whether executed or refused
+  machine.acknowledgements.clear_evidence();  // the request arrived, whether executed or refused
 }
 
 }  // namespace bendtide
--- a/src/core/workers/fleet_statuses.cpp
+++ b/src/core/workers/fleet_statuses.cpp
@@ -89,7 +89,7 @@
 /// Records the fencing token that a status shows. A higher token proves that a message arrived, and that
 /// starts pushed under lower tokens will not be executed.
 void Fleet::apply_fencing_token(Machine& machine, FencingToken token) {
-  if (token > machine.acknowledgements.acknowledged_token()) machine.acknowledgements.clear_missed();
+  if (token > machine.acknowledgements.acknowledged_token()) machine.acknowledgements.clear_evidence();
   machine.acknowledgements.set_acknowledged_token(token);
   for (auto& [id, placement] : machine.tasks) placement.start.token_acknowledged(token);
 }
@@ -112,10 +112,10 @@
 void Fleet::check_reply_effect(Shard& shard, Machine& machine, const ReplyEffect& effect) const {
   if (!effect.expected) return;
   if (effect.seen)
-    machine.acknowledgements.clear_missed();
+    machine.acknowledgements.clear_evidence();
   else if (failures_.sent_after_delivery_of(machine.acknowledgements.reply_sent_at()))
     FailureDetector::add_missed_acknowledgement(shard, machine, Acknowledgements::kWeakEvidence);
-  machine.acknowledgements.forget_reply();
+  machine.acknowledgements.clear_reply();
 }
 
 }  // namespace bendtide
--- a/tests/machine_test.cpp
+++ b/tests/machine_test.cpp
@@ -73,7 +73,7 @@
       t.fleet.on_heartbeat(sequence_number, t.heartbeat(5, 1, sequence_number, false));
     t.fleet.tick();
   });
-  EXPECT_EQ(t.machine().acknowledgements.missed(), 0);
+  EXPECT_EQ(t.machine().acknowledgements.evidence_weight(), 0);
   EXPECT_FALSE(t.machine().lifecycle.decommissioned);
 }
 
@@ -87,7 +87,7 @@
     job.leave_waiting(0, {Task::State::placed, &t.machine(), 7});
     t.at<LogLine>(101, [&] { t.fleet.on_heartbeat(2, t.heartbeat(10, 1, 5, false)); });
     t.at<LogLine>(next_heartbeat_at, [&] { t.fleet.on_heartbeat(3, t.heartbeat(10, 1, 6, false)); });
-    EXPECT_EQ(t.machine().acknowledgements.missed(), evidence) << next_heartbeat_at;
+    EXPECT_EQ(t.machine().acknowledgements.evidence_weight(), evidence) << next_heartbeat_at;
   }
 }
 
@@ -106,7 +106,7 @@
       t.fleet.on_heartbeat(call, t.heartbeat(10, 1, static_cast<std::uint64_t>(moment), false));
       t.fleet.push_commands(t.shard);
     });
-    EXPECT_EQ(t.machine().acknowledgements.missed(), evidence) << moment;
+    EXPECT_EQ(t.machine().acknowledgements.evidence_weight(), evidence) << moment;
     ASSERT_EQ(calls.size(), 1u) << moment;
     call = calls[0].call;
   }
