--- a/src/core/controller/shard_loader.cpp
+++ b/src/core/controller/shard_loader.cpp
@@ -66,7 +66,7 @@
   for (const KeyValue& entry : reads.live_jobs) {
     const auto record = records::live_job(entry.value);
     if (!record) continue;
-    jobs_.learn_shard(*record);
+    jobs_.remember_shard(*record);
     if (record->shard != shard.name) continue;
     if (!state_.may_act_on(shard, record->spec.id, reads.requested_at)) continue;
     // An earlier leader may have started any task of the job on any machine.
--- a/src/core/jobs/jobs.h
+++ b/src/core/jobs/jobs.h
@@ -47,7 +47,7 @@
   /// Adds a job to a shard that is being loaded.
   static Job& load(Shard& shard, const records::LiveJob& record) { return JobDirectory::load(shard, record); }
   /// Remembers the shard of an unfinished job from the job's record, which was just read.
-  void learn_shard(const records::LiveJob& record) { directory_.remember_shard(record); }
+  void remember_shard(const records::LiveJob& record) { directory_.remember_shard(record); }
 
  private:
   ReplyCallback reply_to_user(std::uint64_t request);
--- a/src/core/state/liveness.h
+++ b/src/core/state/liveness.h
@@ -29,7 +29,7 @@
 
   /// Returns whether the heartbeat is a duplicate. A worker has at most one heartbeat in flight, so one whose
   /// number does not exceed that of the last heartbeat replied to was received before.
-  bool is_copy(const Heartbeat& heartbeat) const {
+  bool is_duplicate(const Heartbeat& heartbeat) const {
     return std::pair(heartbeat.incarnation, heartbeat.sequence_number) <=
            std::pair(incarnation, heartbeat_sequence_number);
   }
--- a/src/core/state/start_delivery.h
+++ b/src/core/state/start_delivery.h
@@ -43,7 +43,7 @@
   /// Returns whether a push of the start may still be executed.
   bool push_may_take_effect() const { return pushes_in_flight_ > 0 || unfenced_token_ != 0; }
   /// Returns whether no start sent so far can have started the task, without regard to pushes in flight.
-  bool unsent() const { return replied_heartbeat_ == 0 && unfenced_token_ == 0; }
+  bool cannot_have_started() const { return replied_heartbeat_ == 0 && unfenced_token_ == 0; }
   bool was_pushed() const { return pushed_token_ != 0; }
   bool was_in_reply_to(std::uint64_t heartbeat) const { return replied_heartbeat_ == heartbeat; }
   /// Returns whether the last reply that contained the start, if any, was to a heartbeat before this one.
--- a/src/core/workers/fleet_heartbeats.cpp
+++ b/src/core/workers/fleet_heartbeats.cpp
@@ -37,7 +37,7 @@
   if (found == shard.machines.end()) return nullptr;
   // The worker does not wait for the reply to a duplicate heartbeat, and that reply would not renew its
   // lease.
-  if (found->second.liveness.is_copy(heartbeat)) return nullptr;
+  if (found->second.liveness.is_duplicate(heartbeat)) return nullptr;
   return &found->second;
 }
 
--- a/src/core/workers/fleet_pushes.cpp
+++ b/src/core/workers/fleet_pushes.cpp
@@ -12,7 +12,8 @@
   return std::any_of(machine.tasks.begin(), machine.tasks.end(), [](const auto& entry) {
     const Placement& placement = entry.second;
     if (placement.wanted)
-      return placement.reported_state == Placement::ReportedState::no && placement.start.unsent();
+      return placement.reported_state == Placement::ReportedState::no &&
+             placement.start.cannot_have_started();
     return placement.takes_resources() && placement.reported_state != Placement::ReportedState::no &&
            placement.stop_requested_at == Micros{0};
   });
--- a/tests/question_test.cpp
+++ b/tests/question_test.cpp
@@ -42,7 +42,7 @@
   records::LiveJob record;
   record.shard = "b";
   record.spec.id = kTask.job;
-  fixture.jobs.learn_shard(record);
+  fixture.jobs.remember_shard(record);
   fixture.poll(100);
   ASSERT_EQ(fixture.queries.size(), 1u);
   fixture.collect([&] { fixture.jobs.on_reply({fixture.queries.back().id, 200, JobPhase::running, 0, 1}); });
