--- a/src/core/kvstore/key_value_client.h
+++ b/src/core/kvstore/key_value_client.h
@@ -46,7 +46,7 @@
   /// Sends as many queued requests as the rate budget and the in-flight limit allow now.
   void send_queued();
   /// Returns whether the queues are so long that requests which can wait should not be made.
-  bool busy() const {
+  bool is_queue_long() const {
     return reads_.size() + transactions_[0].size() + transactions_[1].size() > kQueueLimit / 4;
   }
   /// Returns whether all requests have failed for longer than kFailingAfter.
--- a/src/core/leases/peer_health.cpp
+++ b/src/core/leases/peer_health.cpp
@@ -37,7 +37,8 @@
   if (transfers_.received_within(shard.name, state_.context.settings.worker_lease * 2)) return false;
   std::size_t expected_workers = 0;
   for (const auto& [name, machine] : shard.machines) {
-    if (machine.lifecycle.decommissioned || (!machine.liveness.status_received && fleet_.booting(machine)))
+    if (machine.lifecycle.decommissioned ||
+        (!machine.liveness.status_received && fleet_.may_be_booting(machine)))
       continue;
     // Also covers a machine that sends heartbeats but receives no commands: a transfer would not help it.
     if (machine.liveness.last_heartbeat_at > since) return false;
--- a/src/core/negotiation/initiator.cpp
+++ b/src/core/negotiation/initiator.cpp
@@ -63,7 +63,7 @@
 // ---- calls ---------------------------------------------------------------------------------------
 
 void Initiator::start_calls(Shard& shard) {
-  if (state_.store.busy()) return;
+  if (state_.store.is_queue_long()) return;
   std::size_t calls = 0;
   for (Job* job : jobs_due_for_call(shard)) {
     if (calls >= kMaxCallsPerTick || negotiations_.size() >= kMaxOpenNegotiations) return;
--- a/src/core/placement/placer.cpp
+++ b/src/core/placement/placer.cpp
@@ -90,7 +90,7 @@
 std::vector<FreeCapacity> Placer::free_capacities(Shard& shard) const {
   std::vector<FreeCapacity> capacities;
   for (auto& [name, machine] : shard.machines)
-    if (fleet_.usable(machine)) capacities.push_back({&machine, machine.free(), machine.being_released});
+    if (fleet_.is_usable(machine)) capacities.push_back({&machine, machine.free(), machine.being_released});
   return capacities;
 }
 
--- a/src/core/placement/scheduler.cpp
+++ b/src/core/placement/scheduler.cpp
@@ -71,7 +71,7 @@
 }
 
 void Scheduler::fill(Shard& shard, Machine& machine) {
-  if (shard.queue.empty() || !fleet_.usable(machine)) return;
+  if (shard.queue.empty() || !fleet_.is_usable(machine)) return;
   const auto first = std::find_if(shard.queue.begin(), shard.queue.end(), [&](const QueueEntry& entry) {
     return may_start_on(shard, *entry.job, machine);
   });
@@ -111,7 +111,7 @@
   if (!call.zone.empty()) probe.spec.zone = call.zone;
   CallCapacity capacity;
   for (const auto& [name, machine] : shard.machines) {
-    if (!fleet_.usable(machine) || !is_allowed_on(probe, machine, {})) continue;
+    if (!fleet_.is_usable(machine) || !is_allowed_on(probe, machine, {})) continue;
     const Resources free = machine.free();
     const std::int64_t tasks = free.holds(call.each);
     capacity.now += tasks;
--- a/src/core/provisioning/demand.cpp
+++ b/src/core/provisioning/demand.cpp
@@ -31,7 +31,7 @@
                                          const NewestRunning& newest) const {
   const Micros age = state_.context.wall - machine.created_at;
   if (age <= type.boot * 8 / 5 + kBootMargin) return true;
-  if (!fleet_.booting(machine)) return false;
+  if (!fleet_.may_be_booting(machine)) return false;
   const auto newest_of_type = newest.find(machine.type);
   return newest_of_type == newest.end() || newest_of_type->second < machine.created_at;
 }
@@ -44,7 +44,8 @@
     if (machine.lifecycle.decommissioned || type == nullptr) continue;
     const Offering offering{machine.type, machine.zone, machine.spot};
     if (machine.liveness.status_received) {
-      if (fleet_.usable(machine)) bins.push_back({offering, machine.released_by(state_.now() + type->boot)});
+      if (fleet_.is_usable(machine))
+        bins.push_back({offering, machine.released_by(state_.now() + type->boot)});
     } else if (!shard.unreachable_zones.contains(machine.zone) &&
                is_expected_to_boot(machine, *type, newest)) {
       bins.push_back({offering, machine.size});
--- a/src/core/provisioning/scale_in.cpp
+++ b/src/core/provisioning/scale_in.cpp
@@ -76,7 +76,8 @@
 void ScaleIn::decommission_silent_machines(Shard& shard) const {
   const Micros lease = state_.context.settings.worker_lease;
   for (auto& [name, machine] : shard.machines) {
-    if (machine.liveness.status_received || machine.lifecycle.decommissioned || fleet_.booting(machine))
+    if (machine.liveness.status_received || machine.lifecycle.decommissioned ||
+        fleet_.may_be_booting(machine))
       continue;
     // A machine behind a network partition may have been running before this leadership term began, so it
     // gets more time. The time is limited because machines that never booted look like a partition as well,
--- a/src/core/workers/failure_detector.cpp
+++ b/src/core/workers/failure_detector.cpp
@@ -45,7 +45,7 @@
   shard.request_push(machine);
 }
 
-bool FailureDetector::usable(const Machine& machine) const {
+bool FailureDetector::is_usable(const Machine& machine) const {
   const Micros now = state_.now();
   const Liveness& liveness = machine.liveness;
   return liveness.status_received && machine.reconciled && machine.in_use && !liveness.lease_expired &&
@@ -55,7 +55,7 @@
          now - liveness.last_contact() <= state_.context.settings.heartbeat_interval * 2 + kHeartbeatSlack;
 }
 
-bool FailureDetector::booting(const Machine& machine) const {
+bool FailureDetector::may_be_booting(const Machine& machine) const {
   const MachineType* type = state_.machine_type(machine.type);
   return type == nullptr || state_.context.wall - machine.created_at <= type->boot * 5 / 2 + kBootSlack;
 }
@@ -107,7 +107,8 @@
   const Micros longest_pause = state_.context.settings.longest_heartbeat_pause();
   std::map<std::string, ZoneCount> zones;
   for (const auto& [name, machine] : shard.machines) {
-    if (machine.lifecycle.decommissioned || (!machine.liveness.status_received && booting(machine))) continue;
+    if (machine.lifecycle.decommissioned || (!machine.liveness.status_received && may_be_booting(machine)))
+      continue;
     ZoneCount& count = zones[machine.zone];
     ++count.expected;
     if (state_.now() - machine.liveness.last_heartbeat_at > longest_pause) ++count.silent;
--- a/src/core/workers/failure_detector.h
+++ b/src/core/workers/failure_detector.h
@@ -16,9 +16,9 @@
   /// Expires worker leases, detects unreachable zones and decommissions failed machines.
   void check(Shard& shard);
   /// Returns whether tasks may be placed on the machine now.
-  bool usable(const Machine& machine) const;
+  bool is_usable(const Machine& machine) const;
   /// Returns whether the machine may still be booting.
-  bool booting(const Machine& machine) const;
+  bool may_be_booting(const Machine& machine) const;
 
   /// Returns whether a heartbeat that arrives now was sent after the message that this controller sent at
   /// `sent_at` (steady clock) had either arrived or been lost. A worker sends no other heartbeat while it
--- a/src/core/workers/fleet.h
+++ b/src/core/workers/fleet.h
@@ -47,9 +47,9 @@
   /// Removes a machine that was deleted, and releases its tasks.
   void remove(Shard& shard, const std::string& machine);
   /// Returns whether tasks may be placed on the machine now.
-  bool usable(const Machine& machine) const { return failures_.usable(machine); }
+  bool is_usable(const Machine& machine) const { return failures_.is_usable(machine); }
   /// Returns whether the machine may still be booting.
-  bool booting(const Machine& machine) const { return failures_.booting(machine); }
+  bool may_be_booting(const Machine& machine) const { return failures_.may_be_booting(machine); }
   MachineOwnership& ownership() { return ownership_; }
 
  private:
