--- a/src/codec/codec.cpp
+++ b/src/codec/codec.cpp
@@ -71,7 +71,7 @@
 }
 template <class Archive, MaybeConst<LeaseTransfer> Message>
 void serialize(Archive& archive, Message& message) {
-  archive.fields(message.shard, message.fencing_token, message.asked_for);
+  archive.fields(message.shard, message.fencing_token, message.is_failback);
   archive.list(message.unreachable, [](auto& nested, auto& unreachable) { serialize(nested, unreachable); });
 }
 template <class Archive, MaybeConst<CapacityExhausted> Message>
--- a/src/core/controller/controller.cpp
+++ b/src/core/controller/controller.cpp
@@ -120,7 +120,7 @@
     void operator()(const JobEndNotice& m) { controller.contract_net_.on_job_end_notice(m); }
     void operator()(const ProgressNotice& m) { controller.contract_net_.on_progress_notice(m.shard); }
     void operator()(const FailbackRequest& m) {
-      if (m.shard == host) controller.shard_leases_.fail_back(m.shard);
+      if (m.shard == host) controller.shard_leases_.transfer_to_home_host(m.shard);
     }
     void operator()(const QuotaTransferRequest& m) { controller.contract_net_.on_quota_transfer_request(m); }
     void operator()(const CapacityExhausted& m) { controller.autoscaler_.on_capacity_exhausted(m); }
--- a/src/core/leases/lease_transfer.cpp
+++ b/src/core/leases/lease_transfer.cpp
@@ -49,8 +49,8 @@
     for (const auto& [name, machine] : shard.machines)
       if (!machine.address.empty() && transferred.workers.size() < kMaxProbedWorkersPerShard)
         transferred.workers.push_back(machine.address);
-  const bool asked_for = reason == TransferReason::failback;
-  return {shard.name, shard.fencing_token, asked_for, fleet_.unreachable_machines(shard)};
+  const bool is_failback = reason == TransferReason::failback;
+  return {shard.name, shard.fencing_token, is_failback, fleet_.unreachable_machines(shard)};
 }
 
 bool LeaseTransfers::is_held_off(const std::string& shard) {
@@ -69,7 +69,7 @@
 }
 
 void LeaseTransfers::on_received(const LeaseTransfer& transfer) {
-  if (!transfer.asked_for) received_[transfer.shard] = state_.now();
+  if (!transfer.is_failback) received_[transfer.shard] = state_.now();
   handovers_[transfer.shard] = transfer;
 }
 
--- a/src/core/leases/shard_leases.cpp
+++ b/src/core/leases/shard_leases.cpp
@@ -166,7 +166,7 @@
 
 // ---- transfer and loss ---------------------------------------------------------------------------
 
-void ShardLeases::fail_back(const std::string& name) {
+void ShardLeases::transfer_to_home_host(const std::string& name) {
   Shard* shard = state_.held_shard(name);
   if (shard == nullptr || name == state_.own_host() || shard->token_advance.in_flight()) return;
   // If the message is lost, the next list shows a record of this process. This process then acquires the
--- a/src/core/leases/shard_leases.h
+++ b/src/core/leases/shard_leases.h
@@ -23,7 +23,7 @@
   /// Starts the requests, messages and transfers that are due.
   void tick();
   /// Transfers a shard back to its home host, which requested it.
-  void fail_back(const std::string& shard);
+  void transfer_to_home_host(const std::string& shard);
   void on_peer_health(const std::string& host, const PeerHealth& health) {
     peer_health_.on_peer_health(host, health);
   }
--- a/src/core/model/peer_messages.h
+++ b/src/core/model/peer_messages.h
@@ -113,7 +113,7 @@
   FencingToken fencing_token = 0;
   /// Whether the transfer answers a FailbackRequest of the receiver. Otherwise the sender can't serve the
   /// shard.
-  bool asked_for = false;
+  bool is_failback = false;
   std::vector<UnreachableMachine> unreachable;
 };
 
