--- a/src/core/controller/controller.cpp
+++ b/src/core/controller/controller.cpp
@@ -52,14 +52,14 @@
 }
 
 void Controller::schedule(Shard& shard) {
-  scheduler_.pass(shard);
+  scheduler_.run_pass(shard);
   fleet_.push_commands(shard);
 }
 
 void Controller::place_on(Shard& shard, Machine& machine) {
   // Tasks of stale awards must be stopped before new tasks are placed on the machine.
   contract_net_.stop_stale_awards(shard, machine);
-  scheduler_.fill(shard, machine);
+  scheduler_.fill_machine(shard, machine);
 }
 
 void Controller::on_shard_ready(Shard& shard) {
--- a/src/core/controller/overview.cpp
+++ b/src/core/controller/overview.cpp
@@ -88,7 +88,7 @@
           {"rounds", counters.rounds},
           {"awards", counters.awards},
           {"conflicts", counters.conflicts},
-          {"without_feasible_proposal", counters.infeasible},
+          {"without_feasible_proposal", counters.without_feasible_proposal},
           {"shares_moved", counters.quota_transfers}};
 }
 
--- a/src/core/negotiation/initiator.cpp
+++ b/src/core/negotiation/initiator.cpp
@@ -222,7 +222,7 @@
 }
 
 void Initiator::on_no_feasible_proposal(Shard& shard, Job& job, const Negotiation& negotiation) {
-  ++counters_.infeasible;
+  ++counters_.without_feasible_proposal;
   job.needs_machines = true;
   if (job.quota_share_exhausted)
     request_quota(shard, job, negotiation);
--- a/src/core/negotiation/negotiation_counters.h
+++ b/src/core/negotiation/negotiation_counters.h
@@ -6,12 +6,12 @@
 namespace bendtide {
 
 struct NegotiationCounters {
-  std::uint64_t calls = 0;            ///< calls for proposals, each counted once
-  std::uint64_t rounds = 0;           ///< rounds of all calls
-  std::uint64_t awards = 0;           ///< awards written to the key-value store
-  std::uint64_t conflicts = 0;        ///< quota transfers abandoned because of a conflicting write
-  std::uint64_t infeasible = 0;       ///< calls that ended without a feasible proposal
-  std::uint64_t quota_transfers = 0;  ///< transfers of quota share without an award
+  std::uint64_t calls = 0;                      ///< calls for proposals, each counted once
+  std::uint64_t rounds = 0;                     ///< rounds of all calls
+  std::uint64_t awards = 0;                     ///< awards written to the key-value store
+  std::uint64_t conflicts = 0;                  ///< quota transfers abandoned because of a conflicting write
+  std::uint64_t without_feasible_proposal = 0;  ///< calls that ended without a feasible proposal
+  std::uint64_t quota_transfers = 0;            ///< transfers of quota share without an award
 };
 
 }  // namespace bendtide
--- a/src/core/negotiation/participant.cpp
+++ b/src/core/negotiation/participant.cpp
@@ -33,7 +33,7 @@
   proposal.shard = shard.name;
   if (!shard.ready() || !shard.quota.is_current() || !shard.quota.has_share_of(call.team))
     return proposal;  // zero tasks: a refusal
-  scheduler_.pass(shard);
+  scheduler_.run_pass(shard);
   const Scheduler::Offer offer = scheduler_.offer(shard, call);
   proposal.tasks = offer.tasks;
   proposal.start_delay = offer.delay;
--- a/src/core/placement/scheduler.cpp
+++ b/src/core/placement/scheduler.cpp
@@ -39,7 +39,7 @@
 
 }  // namespace
 
-void Scheduler::pass(Shard& shard) {
+void Scheduler::run_pass(Shard& shard) {
   if (state_.now() < shard.next_scheduling_pass_at) return;
   shard.next_scheduling_pass_at = state_.now() + kPassInterval;
   rebuild_queue(shard, state_.context);
@@ -70,7 +70,7 @@
   return shard.may_start(job, state_.now()) && !job.failed_on.contains(machine.name);
 }
 
-void Scheduler::fill(Shard& shard, Machine& machine) {
+void Scheduler::fill_machine(Shard& shard, Machine& machine) {
   if (shard.queue.empty() || !fleet_.is_usable(machine)) return;
   const auto first = std::find_if(shard.queue.begin(), shard.queue.end(), [&](const QueueEntry& entry) {
     return may_start_on(shard, *entry.job, machine);
--- a/src/core/placement/scheduler.h
+++ b/src/core/placement/scheduler.h
@@ -13,11 +13,11 @@
   /// Runs a scheduling pass: places waiting tasks, preempts others for them where allowed, and stores in each
   /// job how many of its tasks found no capacity (`tasks_without_capacity`). Does nothing unless the shard
   /// has changed since the last pass or half a second has passed.
-  void pass(Shard& shard);
+  void run_pass(Shard& shard);
 
   /// Places tasks that were left waiting by the last pass on one machine, so that the response to its
   /// heartbeat can carry start commands.
-  void fill(Shard& shard, Machine& machine);
+  void fill_machine(Shard& shard, Machine& machine);
 
   /// The number of tasks of a call for proposals that a shard can take, and the delay until they start.
   struct Offer {
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -60,7 +60,7 @@
   }
   void pass() {
     shard.request_scheduling_pass();
-    scheduler.pass(shard);
+    scheduler.run_pass(shard);
   }
 };
 
