--- a/src/core/leases/store_lease.cpp
+++ b/src/core/leases/store_lease.cpp
@@ -35,7 +35,7 @@
   }
   const Micros term = state_.context.settings.lease_term();
   id_ = response.lease;
-  state_.lease_valid_until = sent_at + surely_within(term);
+  state_.lease_valid_until = sent_at + lower_bound_on_local_clock(term);
   next_request_ = state_.now() + term / kRenewalsPerTerm;
   hooks_.granted();
 }
@@ -54,7 +54,7 @@
     return;
   }
   const Micros term = state_.context.settings.lease_term();
-  state_.lease_valid_until = std::max(state_.lease_valid_until, sent_at + surely_within(term));
+  state_.lease_valid_until = std::max(state_.lease_valid_until, sent_at + lower_bound_on_local_clock(term));
   next_request_ = state_.now() + term / kRenewalsPerTerm;
 }
 
--- a/src/core/model/settings.h
+++ b/src/core/model/settings.h
@@ -113,7 +113,9 @@
   /// (docs/DESIGN.md). A leader that can't read the cancellation acts on older data for at most the term of
   /// its lease. A worker that can't be reached keeps running tasks for its own lease after the last response
   /// it received.
-  Micros cancelled_gone_within() const { return surely_over(lease_term()) + surely_over(worker_lease); }
+  Micros cancelled_gone_within() const {
+    return upper_bound_on_local_clock(lease_term()) + upper_bound_on_local_clock(worker_lease);
+  }
 };
 
 }  // namespace bendtide
--- a/src/core/model/time.h
+++ b/src/core/model/time.h
@@ -23,14 +23,14 @@
 
 /// Returns a duration on the local clock after which `span` has certainly elapsed on the clock of another
 /// host.
-constexpr Micros surely_over(Micros span) {
+constexpr Micros upper_bound_on_local_clock(Micros span) {
   return Micros{static_cast<std::int64_t>(static_cast<double>(span.count()) * (1.0 + kMaxClockDrift))} +
          kTimerMargin;
 }
 
 /// Returns a duration on the local clock within which `span` has certainly not yet elapsed on the clock of
 /// another host. A grant from another host may be relied on for this long.
-constexpr Micros surely_within(Micros span) {
+constexpr Micros lower_bound_on_local_clock(Micros span) {
   return Micros{static_cast<std::int64_t>(static_cast<double>(span.count()) * (1.0 - kMaxClockDrift))} -
          kTimerMargin;
 }
--- a/src/core/workers/command_builder.cpp
+++ b/src/core/workers/command_builder.cpp
@@ -91,7 +91,7 @@
 Micros CommandBuilder::stop_grace_period(const Shard& shard, const Job& job) const {
   const Settings& settings = state_.context.settings;
   if (job.ended || job.spec.checkpoint.count() == 0) return {};
-  const Micros longest_save = surely_over(std::max(settings.worker_lease, job.spec.save));
+  const Micros longest_save = upper_bound_on_local_clock(std::max(settings.worker_lease, job.spec.save));
   const bool in_time = job.owner.empty() ||
                        state_.now() + longest_save <= shard.award_freshness.read_at + settings.cancel_within;
   return in_time ? job.spec.save : Micros{0};
--- a/src/core/workers/failure_detector.cpp
+++ b/src/core/workers/failure_detector.cpp
@@ -61,7 +61,7 @@
 }
 
 void FailureDetector::check(Shard& shard) {
-  const Micros lease = surely_over(state_.context.settings.worker_lease);
+  const Micros lease = upper_bound_on_local_clock(state_.context.settings.worker_lease);
   for (auto& [name, machine] : shard.machines) {
     check_lease(shard, machine, lease);
     if (machine.lifecycle.quarantined && machine.idle() &&
