--- a/lab/worker_fleet.cpp
+++ b/lab/worker_fleet.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr Micros kStep = millis(20);
-constexpr Micros kHeartbeatWithin = Settings::kWorkerPatience;
+constexpr Micros kHeartbeatWithin = Settings::kHeartbeatTimeout;
 constexpr Micros kUnreachable = seconds(3);  ///< longer than any controller waits for an answer
 constexpr int kAddressesPerBlock = 250;
 constexpr int kMachinesAtStart = 6;
--- a/src/app/config.cpp
+++ b/src/app/config.cpp
@@ -121,7 +121,7 @@
       section.fail("lease_s", "must not be below report_s");
     if (settings_.cancel_within <= settings_.worker_lease + seconds(2))
       section.fail("cancel_s", "must exceed lease_s by more than 2 s");
-    if (settings_.cancelled_gone_within() > settings_.cancel_within)
+    if (settings_.max_cancellation_time() > settings_.cancel_within)
       section.fail("cancel_s", "too short to stop a cancelled task in time; must be well above lease_s");
   }
 
--- a/src/core/model/resources.h
+++ b/src/core/model/resources.h
@@ -36,7 +36,7 @@
   }
   /// Returns how many times `each` fits into these resources, at most INT32_MAX. Resources that `each` does
   /// not need are ignored.
-  std::int64_t holds(const Resources& each) const {
+  std::int64_t count_that_fit(const Resources& each) const {
     std::int64_t copies = INT32_MAX;
     if (each.cpu > 0) copies = std::min(copies, std::max<std::int64_t>(0, cpu) / each.cpu);
     if (each.gpu > 0) copies = std::min(copies, std::max<std::int64_t>(0, gpu) / each.gpu);
@@ -66,9 +66,9 @@
   friend Quota operator-(Quota a, const Quota& b) { return a -= b; }
   friend Quota operator*(Quota a, std::int64_t n) { return {a.cpu * n, a.gpu * n}; }
   bool fits_in(const Quota& other) const { return cpu <= other.cpu && gpu <= other.gpu; }
-  /// See Resources::holds().
-  std::int64_t holds(const Quota& each) const {
-    return Resources{cpu, gpu, 0}.holds(Resources{each.cpu, each.gpu, 0});
+  /// See Resources::count_that_fit().
+  std::int64_t count_that_fit(const Quota& each) const {
+    return Resources{cpu, gpu, 0}.count_that_fit(Resources{each.cpu, each.gpu, 0});
   }
 };
 
--- a/src/core/model/settings.h
+++ b/src/core/model/settings.h
@@ -36,16 +36,16 @@
 
 struct Settings {
   /// The timeout of a worker for the response to a heartbeat (PROTOCOL).
-  static constexpr Micros kWorkerPatience = seconds(4);
+  static constexpr Micros kHeartbeatTimeout = seconds(4);
   /// The delay between that timeout and the worker's heartbeat to the next controller (PROTOCOL).
-  static constexpr Micros kWorkerRetry = seconds(1);
+  static constexpr Micros kHeartbeatRetryDelay = seconds(1);
   /// The time that a peer takes to acquire a shard that no longer has a leader.
   static constexpr Micros kShardAcquisitionTime = seconds(2);
   /// The first task of every job must start within this time after acceptance, whatever the job's priority.
-  static constexpr Micros kFirstTaskWithin = seconds(240);
+  static constexpr Micros kFirstTaskStartLimit = seconds(240);
   /// A job whose first task waits longer is served before other jobs of equal rank, and an on-demand machine
   /// may be created for it.
-  static constexpr Micros kLongestWaitForFirstTask = kFirstTaskWithin / 2;
+  static constexpr Micros kFirstTaskOverdueAfter = kFirstTaskStartLimit / 2;
 
   std::string host;              ///< host name of this controller; also the name of its home shard
   std::string zone;              ///< zone of this controller
@@ -83,7 +83,7 @@
   }
   /// Whether a job is best-effort work: it has the lowest priority and no deadline, its class has no
   /// objective, and its team has no guarantee. Such a job does not justify the price of an on-demand machine.
-  bool best_effort(const JobSpec& spec) const {
+  bool is_best_effort(const JobSpec& spec) const {
     if (spec.priority != Priority::low || spec.deadline) return false;
     const Team* job_team = team(spec.team);
     if (job_team != nullptr && job_team->guarantee != Quota{}) return false;
@@ -105,7 +105,7 @@
   /// because leaders must survive outages of the key-value store.
   Micros lease_term() const {
     const Micros longest{(cancel_within - worker_lease).count() * 2 / 3};
-    const Micros failover_time = kWorkerPatience + kWorkerRetry + kShardAcquisitionTime;
+    const Micros failover_time = kHeartbeatTimeout + kHeartbeatRetryDelay + kShardAcquisitionTime;
     const Micros before_workers_lease = worker_lease - heartbeat_interval * 5 / 4 - failover_time;
     return std::clamp(before_workers_lease, std::min(longest, worker_lease) / 2, longest);
   }
@@ -113,7 +113,7 @@
   /// (docs/DESIGN.md). A leader that can't read the cancellation acts on older data for at most the term of
   /// its lease. A worker that can't be reached keeps running tasks for its own lease after the last response
   /// it received.
-  Micros cancelled_gone_within() const {
+  Micros max_cancellation_time() const {
     return upper_bound_on_local_clock(lease_term()) + upper_bound_on_local_clock(worker_lease);
   }
 };
--- a/src/core/negotiation/initiator.cpp
+++ b/src/core/negotiation/initiator.cpp
@@ -272,7 +272,7 @@
   const Quota spare = shard.quota.spare(job.spec.team);
   const std::int64_t count =
       std::min<std::int64_t>({best.tasks, static_cast<std::int64_t>(job.waiting.size()), kMaxTasksPerAward,
-                              (best.free_quota_share + spare).holds(each)});
+                              (best.free_quota_share + spare).count_that_fit(each)});
   if (count <= 0) return;
   job.needs_machines = false;
   const Quota lacking = at_least_zero(each * count - best.free_quota_share);
--- a/src/core/negotiation/quota_transfer.cpp
+++ b/src/core/negotiation/quota_transfer.cpp
@@ -225,7 +225,7 @@
     // No share is kept for a job that the unused share is too small for, if the peer's job has waited longer.
     // Otherwise two shards could each keep a share too small for their own job, and neither job would start.
     const Quota each = quota_of(job.spec.each);
-    if (request.waits_since < job.accepted_at && unused.holds(each) == 0) continue;
+    if (request.waits_since < job.accepted_at && unused.count_that_fit(each) == 0) continue;
     const auto reserved = job.is_suspect() ? 1 : static_cast<std::int64_t>(job.waiting.size());
     spare -= each * reserved;
   }
--- a/src/core/placement/placer.cpp
+++ b/src/core/placement/placer.cpp
@@ -80,10 +80,10 @@
 
 bool Placer::may_occupy(const Shard& shard, const Job& job, const Machine& machine) const {
   const Settings& settings = state_.context.settings;
-  if (machine.spot || !job.has_begun() || !settings.best_effort(job.spec)) return true;
+  if (machine.spot || !job.has_begun() || !settings.is_best_effort(job.spec)) return true;
   return std::any_of(machine.tasks.begin(), machine.tasks.end(), [&](const auto& task) {
     const auto other = shard.jobs.find(task.first.task.job);
-    return task.second.wanted && other != shard.jobs.end() && !settings.best_effort(other->second.spec);
+    return task.second.wanted && other != shard.jobs.end() && !settings.is_best_effort(other->second.spec);
   });
 }
 
--- a/src/core/placement/preemption.cpp
+++ b/src/core/placement/preemption.cpp
@@ -203,12 +203,12 @@
   // other's tasks.
   const std::int64_t startable = job.quota_share_exhausted
                                      ? kMaxStopsPerJob
-                                     : shard_.free_quota_share(job.spec.team).holds(quota_of(each));
+                                     : shard_.free_quota_share(job.spec.team).count_that_fit(quota_of(each));
   const std::int64_t needed =
       std::min<std::int64_t>({job.tasks_without_capacity, kMaxStopsPerJob, startable});
   const Quota unused_guarantee =
       guarantee_of(state_.context.settings, shard_, job.spec.team) - shard_.used(job.spec.team);
-  std::int64_t within_guarantee = std::min(needed, unused_guarantee.holds(quota_of(each)));
+  std::int64_t within_guarantee = std::min(needed, unused_guarantee.count_that_fit(quota_of(each)));
   // A job that misses an objective anyway comes after the jobs that can still meet theirs. Capacity released
   // for it would go to those jobs, and still more tasks would have to be stopped.
   if (entry.missed_objectives > 0) within_guarantee = 0;
--- a/src/core/placement/queue_order.cpp
+++ b/src/core/placement/queue_order.cpp
@@ -33,7 +33,7 @@
 
 bool first_task_is_overdue(const Job& job, const Context& context) {
   return job.done == 0 && job.placement_count == 0 &&
-         context.wall - job.accepted_at > Settings::kLongestWaitForFirstTask;
+         context.wall - job.accepted_at > Settings::kFirstTaskOverdueAfter;
 }
 
 auto rank(const QueueEntry& entry) {
--- a/src/core/placement/scheduler.cpp
+++ b/src/core/placement/scheduler.cpp
@@ -113,18 +113,19 @@
   for (const auto& [name, machine] : shard.machines) {
     if (!fleet_.is_usable(machine) || !is_allowed_on(probe, machine, {})) continue;
     const Resources free = machine.free();
-    const std::int64_t tasks = free.holds(call.each);
+    const std::int64_t tasks = free.count_that_fit(call.each);
     capacity.now += tasks;
     capacity.cached |= tasks > 0 && machine.images.contains(call.image);
     if (capacity.now < call.tasks)
-      capacity.soon += (free + machine.released_by(state_.now() + kOfferHorizon)).holds(call.each) - tasks;
+      capacity.soon +=
+          (free + machine.released_by(state_.now() + kOfferHorizon)).count_that_fit(call.each) - tasks;
   }
   return capacity;
 }
 
 Scheduler::Offer Scheduler::offer(Shard& shard, const CallForProposals& call) const {
   const Quota quota = shard.free_quota_share(call.team) + call.spare_quota;
-  const std::int64_t within_quota = quota.holds(quota_of(call.each));
+  const std::int64_t within_quota = quota.count_that_fit(quota_of(call.each));
   if (within_quota <= 0) return {};
   const std::int64_t max_tasks = std::min(within_quota, std::int64_t{call.tasks});
   const CallCapacity capacity = capacity_for(shard, call);
--- a/src/core/provisioning/demand.cpp
+++ b/src/core/provisioning/demand.cpp
@@ -14,7 +14,7 @@
 void pack(Bin& bin, Demand& demand) {
   const JobSpec& spec = demand.job->spec;
   if (demand.tasks <= 0 || bin.free.cpu < spec.each.cpu || !suits(spec, bin.offering)) return;
-  const std::int64_t tasks = std::min(demand.tasks, bin.free.holds(spec.each));
+  const std::int64_t tasks = std::min(demand.tasks, bin.free.count_that_fit(spec.each));
   bin.free -= spec.each * tasks;
   demand.tasks -= tasks;
 }
@@ -55,12 +55,12 @@
 }
 
 Demand DemandEstimate::demand_of(Job& job, const Quota& free_quota) const {
-  Demand demand{
-      &job, std::min<std::int64_t>(job.tasks_without_capacity, free_quota.holds(quota_of(job.spec.each)))};
-  if (!state_.context.settings.best_effort(job.spec)) return demand;
+  Demand demand{&job, std::min<std::int64_t>(job.tasks_without_capacity,
+                                             free_quota.count_that_fit(quota_of(job.spec.each)))};
+  if (!state_.context.settings.is_best_effort(job.spec)) return demand;
   demand.best_effort = true;
   const Micros waiting_for = state_.context.wall - job.accepted_at;
-  const bool overdue = !job.has_begun() && waiting_for > Settings::kLongestWaitForFirstTask;
+  const bool overdue = !job.has_begun() && waiting_for > Settings::kFirstTaskOverdueAfter;
   demand.spot_only = !overdue;
   // Best-effort jobs must begin in time, too: an overdue first task gets a machine at any price.
   if (overdue) demand.tasks = std::min<std::int64_t>(demand.tasks, 1);
--- a/src/core/provisioning/offering_selector.cpp
+++ b/src/core/provisioning/offering_selector.cpp
@@ -53,7 +53,7 @@
     best_cost = cost;
   };
   for (const MachineType& type : state_.catalogue) {
-    if (type.size.holds(demand.job->spec.each) <= 0) continue;
+    if (type.size.count_that_fit(demand.job->spec.each) <= 0) continue;
     for (const std::string& zone : type.zones)
       for (const bool spot : {false, true}) consider(type, {type.name, zone, spot});
   }
--- a/src/core/provisioning/scale_in.cpp
+++ b/src/core/provisioning/scale_in.cpp
@@ -51,7 +51,7 @@
     const Placement& placement = task.second;
     const auto job = shard.jobs.find(task.first.task.job);
     return placement.wanted && placement.takes_resources() && job != shard.jobs.end() &&
-           state_.context.settings.best_effort(job->second.spec);
+           state_.context.settings.is_best_effort(job->second.spec);
   });
 }
 
@@ -66,7 +66,7 @@
     const Job& job = shard.jobs.at(id.task.job);
     // The first task of a job is not stopped while its time to start has not passed: otherwise the job would
     // need another task to start elsewhere within that time.
-    const bool first_task_due = state_.context.wall - job.accepted_at < Settings::kFirstTaskWithin;
+    const bool first_task_due = state_.context.wall - job.accepted_at < Settings::kFirstTaskStartLimit;
     if (first_task_due && job.placement_count == 1) continue;
     shard.change_placement(machine, id, placement, [](Placement& changed) { changed.wanted = false; });
     shard.request_push(machine);
--- a/src/core/workers/failure_detector.cpp
+++ b/src/core/workers/failure_detector.cpp
@@ -27,7 +27,7 @@
 }  // namespace
 
 bool FailureDetector::sent_after_delivery_of(Micros sent_at) const {
-  return state_.now() - sent_at >= Settings::kWorkerPatience;
+  return state_.now() - sent_at >= Settings::kHeartbeatTimeout;
 }
 
 /// A single lost push is weak evidence, because a network partition may drop it and delay the heartbeats that
--- a/src/core/workers/heartbeat_router.cpp
+++ b/src/core/workers/heartbeat_router.cpp
@@ -5,7 +5,7 @@
 namespace {
 
 /// The time for which a heartbeat is deferred. It ends while the worker still waits for the reply.
-constexpr Micros kMaxDeferral = Settings::kWorkerPatience - Settings::kWorkerRetry;
+constexpr Micros kMaxDeferral = Settings::kHeartbeatTimeout - Settings::kHeartbeatRetryDelay;
 constexpr std::size_t kMaxRememberedDeletedMachines = 4096;
 
 }  // namespace
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -126,8 +126,8 @@
     try {
       const Settings s = parse_settings(text);
       EXPECT_TRUE(c.accepted) << c.lease << " " << c.cancel;
-      EXPECT_LE(s.cancelled_gone_within(), s.cancel_within) << c.lease << " " << c.cancel;
-      EXPECT_GE(s.cancelled_gone_within(), s.lease_term() + s.worker_lease);
+      EXPECT_LE(s.max_cancellation_time(), s.cancel_within) << c.lease << " " << c.cancel;
+      EXPECT_GE(s.max_cancellation_time(), s.lease_term() + s.worker_lease);
       EXPECT_GE(s.lease_term(), millis(100)) << "the shortest lease that the key-value store grants";
     } catch (const ConfigError& e) {
       EXPECT_FALSE(c.accepted) << e.what();
