--- a/lab/user_crowd.cpp
+++ b/lab/user_crowd.cpp
@@ -60,7 +60,7 @@
   spec.job_class = "class";
   spec.image = "image-" + std::to_string(lab_.pick(3));
   spec.image_gb = 1;
-  spec.each = {2000, 0, 4000};
+  spec.task_resources = {2000, 0, 4000};
   if (lab_.chance() < kShareOfServices) {
     spec.shape = Shape::service;
     spec.tasks = 1;
@@ -68,11 +68,11 @@
     return spec;
   }
   spec.tasks = static_cast<std::uint32_t>(1 + lab_.pick(4));
-  spec.estimate = lab_.between(1, 5);
+  spec.estimated_task_duration = lab_.between(1, 5);
   spec.spot = lab_.chance() < 0.5;
   if (lab_.chance() < 0.2) {
-    spec.checkpoint = seconds(1);
-    spec.save = seconds(1);
+    spec.checkpoint_interval = seconds(1);
+    spec.save_duration = seconds(1);
   }
   if (lab_.chance() < 0.2) spec.zone = lab_.chance() < 0.5 ? "east" : "west";
   return spec;
--- a/lab/worker_fleet.cpp
+++ b/lab/worker_fleet.cpp
@@ -61,7 +61,7 @@
   };
   hooks.run_time = [this](const TaskId& task) {
     const JobSpec& spec = lab_.specs.at(task.job);
-    return spec.shape == Shape::service ? seconds(100'000) : spec.estimate;
+    return spec.shape == Shape::service ? seconds(100'000) : spec.estimated_task_duration;
   };
   found->second.worker = std::make_unique<sim::SimulatedWorker>(
       found->second, *cloud_.type(found->second.type), lab_.settings, std::move(hooks), lab_.now());
--- a/src/codec/codec.cpp
+++ b/src/codec/codec.cpp
@@ -21,15 +21,16 @@
   archive.fields(message.id, message.job_class, message.team);
   archive.field(message.shape, Shape::service);
   archive.field(message.priority, Priority::production);
-  archive.fields(message.tasks, message.each, message.types, message.zone, message.one_zone, message.spread,
-                 message.spot, message.image, message.image_gb, message.estimate, message.checkpoint,
-                 message.save, message.deadline);
+  archive.fields(message.tasks, message.task_resources, message.types, message.zone, message.one_zone,
+                 message.spread, message.spot, message.image, message.image_gb,
+                 message.estimated_task_duration, message.checkpoint_interval, message.save_duration,
+                 message.deadline);
 }
 template <class Archive, MaybeConst<JobQuery> Message>
 void serialize(Archive& archive, Message& message) {
   archive.field(message.id);
   archive.field(message.kind, JobQuery::Kind::submit);
-  archive.fields(message.job, message.fresh);
+  archive.fields(message.job, message.may_read_store);
   if (message.kind == JobQuery::Kind::submit) serialize(archive, message.spec);
 }
 template <class Archive, MaybeConst<JobReply> Message>
@@ -41,10 +42,10 @@
 template <class Archive, MaybeConst<CallForProposals> Message>
 void serialize(Archive& archive, Message& message) {
   archive.fields(message.id, message.round, message.from_shard, message.job, message.team, message.tasks,
-                 message.each, message.types, message.zone, message.spot, message.image, message.spare_quota,
-                 message.disclosed);
+                 message.task_resources, message.types, message.zone, message.spot, message.image,
+                 message.spare_quota, message.disclosed);
   archive.field(message.priority, Priority::production);
-  archive.field(message.deadline_in);
+  archive.field(message.time_to_deadline);
 }
 template <class Archive, MaybeConst<Proposal> Message>
 void serialize(Archive& archive, Message& message) {
@@ -66,7 +67,7 @@
 }
 template <class Archive, MaybeConst<UnreachableMachine> Message>
 void serialize(Archive& archive, Message& message) {
-  archive.fields(message.machine, message.status_ago, message.reply_ago);
+  archive.fields(message.machine, message.since_last_status, message.since_last_reply);
   archive.list(message.tasks, [](auto& nested, auto& task) { serialize(nested, task); });
 }
 template <class Archive, MaybeConst<LeaseTransfer> Message>
@@ -80,7 +81,7 @@
 }
 template <class Archive, MaybeConst<QuotaTransferRequest> Message>
 void serialize(Archive& archive, Message& message) {
-  archive.fields(message.from, message.to, message.team, message.want, message.waits_since);
+  archive.fields(message.from, message.to, message.team, message.max_amount, message.job_accepted_at);
 }
 template <class Archive, MaybeConst<JobEndNotice> Message>
 void serialize(Archive& archive, Message& message) {
--- a/src/core/jobs/job_polls.cpp
+++ b/src/core/jobs/job_polls.cpp
@@ -11,8 +11,8 @@
 /// How long the leader of a job has to reply before the job's records are used instead.
 constexpr Micros kLeaderTimeout = millis(400);
 
-JobQuery make_poll_query(const std::string& job, bool fresh) {
-  return {0, JobQuery::Kind::poll, job, fresh, {}};
+JobQuery make_poll_query(const std::string& job, bool may_read_store) {
+  return {0, JobQuery::Kind::poll, job, may_read_store, {}};
 }
 
 }  // namespace
--- a/src/core/jobs/jobs.cpp
+++ b/src/core/jobs/jobs.cpp
@@ -51,7 +51,7 @@
   const ReplyCallback respond = reply_to_peer(from_host, query.id);
   switch (query.kind) {
     case JobQuery::Kind::poll:
-      if (query.fresh) return polls_.poll(query.job, respond, RequestOrigin::peer);
+      if (query.may_read_store) return polls_.poll(query.job, respond, RequestOrigin::peer);
       if (const auto known = directory_.known_status(query.job))
         return respond(replies::status(query.job, *known));
       return respond(replies::unavailable(query.job));
--- a/src/core/jobs/submissions.cpp
+++ b/src/core/jobs/submissions.cpp
@@ -25,13 +25,13 @@
   const Team* team = state_.context.settings.team(spec.team);
   if (team == nullptr) return "unknown team";
   const auto fits = [&](const MachineType& type) {
-    return spec.allows_type(type.name) && spec.each.fits_in(type.size) &&
+    return spec.allows_type(type.name) && spec.task_resources.fits_in(type.size) &&
            (!spec.zone || std::find(type.zones.begin(), type.zones.end(), *spec.zone) != type.zones.end());
   };
   if (std::none_of(state_.catalogue.begin(), state_.catalogue.end(), fits))
     return "a task fits no allowed machine type";
   const std::int64_t at_once = spec.shape == Shape::service ? spec.tasks : 1;
-  if (!(quota_of(spec.each) * at_once).fits_in(team->limit)) return "more than the team's limit";
+  if (!(quota_of(spec.task_resources) * at_once).fits_in(team->limit)) return "more than the team's limit";
   return std::nullopt;
 }
 
--- a/src/core/model/job.h
+++ b/src/core/model/job.h
@@ -45,24 +45,24 @@
   Shape shape = Shape::array;
   Priority priority = Priority::normal;
   std::uint32_t tasks = 0;
-  Resources each;                   ///< required by one task
+  Resources task_resources;         ///< required by one task
   std::vector<std::string> types;   ///< allowed machine types; empty: any
   std::optional<std::string> zone;  ///< the only allowed zone; none: any zone
   bool one_zone = false;            ///< whether all tasks must run in the same zone
   bool spread = false;              ///< whether at most half of the tasks may run in one zone
   bool spot = false;                ///< whether the tasks may run on spot machines
   std::string image;
-  double image_gb = 0;             ///< size of the image
-  Micros estimate{0};              ///< expected duration of one task
-  Micros checkpoint{0};            ///< interval between checkpoints; 0: the tasks save none
-  Micros save{0};                  ///< time that saving a checkpoint takes
-  std::optional<Micros> deadline;  ///< relative to the submission; none: no deadline
+  double image_gb = 0;                ///< size of the image
+  Micros estimated_task_duration{0};  ///< expected duration of one task
+  Micros checkpoint_interval{0};      ///< interval between checkpoints; 0: the tasks save none
+  Micros save_duration{0};            ///< time that saving a checkpoint takes
+  std::optional<Micros> deadline;     ///< relative to the submission; none: no deadline
 
   bool allows_type(const std::string& type) const {
     return types.empty() || std::find(types.begin(), types.end(), type) != types.end();
   }
   /// Whether a single controller must place all tasks, because a zone rule applies to all of them together.
-  bool needs_one_decider() const { return one_zone || spread; }
+  bool needs_single_controller() const { return one_zone || spread; }
   bool operator==(const JobSpec&) const = default;
 };
 
--- a/src/core/model/peer_messages.h
+++ b/src/core/model/peer_messages.h
@@ -19,8 +19,8 @@
   std::uint64_t id = 0;  ///< chosen by the sender, which uses it to match the reply
   Kind kind = Kind::poll;
   std::string job;
-  bool fresh = false;  ///< of a poll: whether the receiver may read the key-value store for it
-  JobSpec spec;        ///< set for a submission only
+  bool may_read_store = false;  ///< of a poll: whether the receiver may read the key-value store for it
+  JobSpec spec;                 ///< set for a submission only
 };
 
 /// The answer to the JobQuery with the same id.
@@ -41,7 +41,7 @@
   std::string job;
   std::string team;
   std::uint32_t tasks = 0;         ///< number of tasks for which `from_shard` has no capacity
-  Resources each;                  ///< required by one task
+  Resources task_resources;        ///< required by one task
   std::vector<std::string> types;  ///< allowed machine types; empty: any
   std::string zone;                ///< the only allowed zone; empty: any
   bool spot = false;               ///< whether the tasks may run on spot machines
@@ -49,7 +49,7 @@
   Quota spare_quota;       ///< the part of the team's quota share that can move with the tasks
   bool disclosed = false;  ///< whether the two fields below are set: true from the second round on
   Priority priority = Priority::normal;
-  Micros deadline_in{0};  ///< time left until the job's deadline; 0: no deadline
+  Micros time_to_deadline{0};  ///< time left until the job's deadline; 0: no deadline
 };
 
 /// Contract net protocol: how much of a call for proposals a shard can accept. A proposal reserves nothing.
@@ -101,8 +101,8 @@
 /// A machine that does not respond to the sender of a LeaseTransfer, and the tasks that may run on it.
 struct UnreachableMachine {
   std::string machine;
-  Micros status_ago{0};  ///< time since the machine's last status arrived
-  Micros reply_ago{0};   ///< time since the last reply to the machine, which renewed its worker's lease
+  Micros since_last_status{0};  ///< time since the machine's last status arrived
+  Micros since_last_reply{0};  ///< time since the last reply to the machine, which renewed its worker's lease
   std::vector<TaskStatus> tasks;
 };
 
@@ -124,8 +124,8 @@
   std::string from;
   std::string to;
   std::string team;
-  Quota want;             ///< the largest amount to transfer
-  Micros waits_since{0};  ///< wall clock: when the job that needs the share was accepted
+  Quota max_amount;           ///< the largest amount to transfer
+  Micros job_accepted_at{0};  ///< wall clock: when the job that needs the share was accepted
 };
 
 /// The cloud has refused to create machines of this offering for the sender, for lack of capacity. This is
--- a/src/core/model/records.cpp
+++ b/src/core/model/records.cpp
@@ -60,17 +60,17 @@
                {"shape", static_cast<int>(spec.shape)},
                {"priority", static_cast<int>(spec.priority)},
                {"tasks", spec.tasks},
-               {"each", resources_to_json(spec.each)},
+               {"each", resources_to_json(spec.task_resources)},
                {"spot", spec.spot},
                {"image", spec.image},
                {"image_gb", spec.image_gb},
-               {"estimate", spec.estimate.count()}};
+               {"estimate", spec.estimated_task_duration.count()}};
   if (!spec.types.empty()) out["types"] = spec.types;
   if (spec.zone) out["zone"] = *spec.zone;
   if (spec.one_zone) out["one_zone"] = true;
   if (spec.spread) out["spread"] = true;
-  if (spec.checkpoint.count() > 0) out["checkpoint"] = spec.checkpoint.count();
-  if (spec.save.count() > 0) out["save"] = spec.save.count();
+  if (spec.checkpoint_interval.count() > 0) out["checkpoint"] = spec.checkpoint_interval.count();
+  if (spec.save_duration.count() > 0) out["save"] = spec.save_duration.count();
   if (spec.deadline) out["deadline"] = spec.deadline->count();
   return out;
 }
@@ -83,17 +83,17 @@
   spec.shape = read_enumerator_field(value, "shape", Shape::service);
   spec.priority = read_enumerator_field(value, "priority", Priority::production);
   spec.tasks = field<std::uint32_t>(value, "tasks");
-  spec.each = read_field(value, "each", read_resources);
+  spec.task_resources = read_field(value, "each", read_resources);
   spec.spot = field<bool>(value, "spot");
   spec.image = field<std::string>(value, "image");
   spec.image_gb = field<double>(value, "image_gb");
-  spec.estimate = read_field(value, "estimate", read_micros);
+  spec.estimated_task_duration = read_field(value, "estimate", read_micros);
   spec.types = field_or(value, "types", std::vector<std::string>{});
   if (value.contains("zone")) spec.zone = field<std::string>(value, "zone");
   spec.one_zone = field_or(value, "one_zone", false);
   spec.spread = field_or(value, "spread", false);
-  spec.checkpoint = Micros{field_or(value, "checkpoint", std::int64_t{0})};
-  spec.save = Micros{field_or(value, "save", std::int64_t{0})};
+  spec.checkpoint_interval = Micros{field_or(value, "checkpoint", std::int64_t{0})};
+  spec.save_duration = Micros{field_or(value, "save", std::int64_t{0})};
   if (value.contains("deadline")) spec.deadline = read_field(value, "deadline", read_micros);
   return spec;
 }
--- a/src/core/negotiation/initiator.cpp
+++ b/src/core/negotiation/initiator.cpp
@@ -39,7 +39,8 @@
   const JobSpec& spec = job.spec;
   const JobSpec& other = refused.spec;
   return spec.team == other.team && spec.priority <= other.priority && spec.spot == other.spot &&
-         spec.zone == other.zone && spec.types == other.types && other.each.fits_in(spec.each);
+         spec.zone == other.zone && spec.types == other.types &&
+         other.task_resources.fits_in(spec.task_resources);
 }
 
 }  // namespace
@@ -56,7 +57,7 @@
 /// single scheduler to see all of its tasks. The number of awards of a job is limited because its final write
 /// removes all of them in one transaction.
 bool Initiator::may_be_awarded(const Job& job) const {
-  return job.owner.empty() && !job.spec.needs_one_decider() &&
+  return job.owner.empty() && !job.spec.needs_single_controller() &&
          job.awards.size() + kReservedWrites <= state_.context.settings.store_transaction_writes;
 }
 
@@ -126,7 +127,7 @@
   call.job = job.spec.id;
   call.team = job.spec.team;
   call.tasks = job.tasks_without_capacity;
-  call.each = job.spec.each;
+  call.task_resources = job.spec.task_resources;
   call.types = job.spec.types;
   call.zone = job.spec.zone.value_or("");
   call.spot = job.spec.spot;
@@ -213,7 +214,7 @@
   ++call.round;
   call.disclosed = true;
   call.priority = job.spec.priority;
-  call.deadline_in =
+  call.time_to_deadline =
       job.spec.deadline ? std::max(millis(1), job.deadline_at() - state_.context.wall) : Micros{0};
   negotiation.participants.clear();
   for (const Proposal& proposal : feasible) negotiation.participants.insert(proposal.shard);
@@ -238,7 +239,7 @@
     if (proposal.free_quota_share != Quota{}) donors.push_back(&proposal);
   std::sort(donors.begin(), donors.end(),
             [](const Proposal* a, const Proposal* b) { return a->free_quota_share > b->free_quota_share; });
-  const Quota wanted = quota_of(job.spec.each) * static_cast<std::int64_t>(job.waiting.size());
+  const Quota wanted = quota_of(job.spec.task_resources) * static_cast<std::int64_t>(job.waiting.size());
   Quota expected = shard.quota.free(job.spec.team);
   for (const Proposal* donor : donors) {
     if (wanted.fits_in(expected)) return;
@@ -268,7 +269,7 @@
 /// winner lacks for them.
 void Initiator::award(Shard& shard, Job& job, const Proposal& best) {
   if (!shard.quota.is_current()) return;
-  const Quota each = quota_of(job.spec.each);
+  const Quota each = quota_of(job.spec.task_resources);
   const Quota spare = shard.quota.spare(job.spec.team);
   const std::int64_t count =
       std::min<std::int64_t>({best.tasks, static_cast<std::int64_t>(job.waiting.size()), kMaxTasksPerAward,
--- a/src/core/negotiation/quota_transfer.cpp
+++ b/src/core/negotiation/quota_transfer.cpp
@@ -209,7 +209,7 @@
   if (shard == nullptr || request.to == request.from || !state_.routes.contains(request.to)) return;
   if (!shard->quota.is_current() || !shard->quota.has_share_of(request.team)) return;
   const Quota spare = at_least_zero(transferable_quota(*shard, request));
-  const Quota wanted = at_least_zero(request.want);
+  const Quota wanted = at_least_zero(request.max_amount);
   const Quota amount{std::min(spare.cpu, wanted.cpu), std::min(spare.gpu, wanted.gpu)};
   if (amount == Quota{}) return;
   start(*shard, request.to, request.team, amount, std::nullopt);
@@ -224,8 +224,8 @@
     if (job.no_offering) continue;
     // No share is kept for a job that the unused share is too small for, if the peer's job has waited longer.
     // Otherwise two shards could each keep a share too small for their own job, and neither job would start.
-    const Quota each = quota_of(job.spec.each);
-    if (request.waits_since < job.accepted_at && unused.count_that_fit(each) == 0) continue;
+    const Quota each = quota_of(job.spec.task_resources);
+    if (request.job_accepted_at < job.accepted_at && unused.count_that_fit(each) == 0) continue;
     const auto reserved = job.is_suspect() ? 1 : static_cast<std::int64_t>(job.waiting.size());
     spare -= each * reserved;
   }
--- a/src/core/placement/placer.cpp
+++ b/src/core/placement/placer.cpp
@@ -19,7 +19,7 @@
 
 TasksPerZone tasks_per_zone_of(const Shard& shard, const Job& job) {
   TasksPerZone count;
-  if (!job.spec.needs_one_decider()) return count;
+  if (!job.spec.needs_single_controller()) return count;
   for (const auto& [name, machine] : shard.machines) {
     auto attempt = machine.tasks.lower_bound(AttemptId{{job.spec.id, 0}, 0});
     for (; attempt != machine.tasks.end() && attempt->first.task.job == job.spec.id; ++attempt)
@@ -61,7 +61,8 @@
 Placer::Preference Placer::preference(const Job& job, const FreeCapacity& capacity) const {
   const Machine& machine = *capacity.machine;
   const bool service = job.spec.shape == Shape::service;
-  const bool short_fetch = state_.fetch_time(job.spec, machine.type) * kShortFetchRatio < job.spec.estimate;
+  const bool short_fetch =
+      state_.fetch_time(job.spec, machine.type) * kShortFetchRatio < job.spec.estimated_task_duration;
   const bool image_ready = short_fetch || machine.images.contains(job.spec.image);
   return {.image_ready = image_ready,
           .in_local_zone = !service || machine.zone == state_.context.settings.zone,
@@ -73,7 +74,8 @@
 bool Placer::is_candidate(const Shard& shard, const Job& job, const FreeCapacity& capacity,
                           const TasksPerZone& tasks_per_zone) const {
   const Machine& machine = *capacity.machine;
-  if (!job.spec.each.fits_in(capacity.free) || !is_allowed_on(job, machine, tasks_per_zone)) return false;
+  if (!job.spec.task_resources.fits_in(capacity.free) || !is_allowed_on(job, machine, tasks_per_zone))
+    return false;
   if (job.failed_on.contains(machine.name) && shard.machines.size() > job.failed_on.size()) return false;
   return !job.only_where_cached || machine.images.contains(job.spec.image);
 }
@@ -114,9 +116,9 @@
 void Placer::place_on(Shard& shard, Job& job, FreeCapacity& capacity, TasksPerZone& tasks_per_zone) {
   Machine& machine = *capacity.machine;
   if (!may_occupy(shard, job, machine)) return;
-  const Quota each = quota_of(job.spec.each);
+  const Quota each = quota_of(job.spec.task_resources);
   const bool single_attempt = job.is_suspect();
-  while (!job.waiting.empty() && job.spec.each.fits_in(capacity.free) &&
+  while (!job.waiting.empty() && job.spec.task_resources.fits_in(capacity.free) &&
          is_allowed_on(job, machine, tasks_per_zone)) {
     if (!each.fits_in(shard.free_quota_share(job.spec.team))) {
       job.quota_share_exhausted = true;
@@ -126,8 +128,8 @@
     // A worker runs one attempt of a task at a time, and the previous attempt may not have ended yet.
     if (has_attempt_of(machine, {job.spec.id, index})) return;
     place_task(shard, job, index, machine);
-    capacity.free -= job.spec.each;
-    if (job.spec.needs_one_decider()) ++tasks_per_zone[machine.zone];
+    capacity.free -= job.spec.task_resources;
+    if (job.spec.needs_single_controller()) ++tasks_per_zone[machine.zone];
     if (single_attempt) return;
   }
 }
--- a/src/core/placement/preemption.cpp
+++ b/src/core/placement/preemption.cpp
@@ -34,7 +34,7 @@
     const std::vector<Candidate> candidates = candidates_on(*capacity.machine);
     Resources obtainable = capacity.free + capacity.being_released;
     for (const Candidate& candidate : candidates) obtainable += candidate.placement->resources;
-    if (!job_.spec.each.fits_in(obtainable)) return;
+    if (!job_.spec.task_resources.fits_in(obtainable)) return;
     for (const Candidate& candidate : candidates) {
       if (is_satisfied()) return;
       if (!may_stop(*candidate.job)) continue;
@@ -52,8 +52,8 @@
   };
 
   void reserve(FreeCapacity& capacity) {
-    while (!is_satisfied() && job_.spec.each.fits_in(capacity.free + capacity.being_released)) {
-      capacity.being_released -= job_.spec.each;
+    while (!is_satisfied() && job_.spec.task_resources.fits_in(capacity.free + capacity.being_released)) {
+      capacity.being_released -= job_.spec.task_resources;
       --needed_;
       --within_guarantee_;
     }
@@ -160,8 +160,8 @@
         job.failed_on.contains(machine.name))
       continue;
     if (state_.fetch_time(job.spec, machine.type) <= kQuickStopTime) return false;
-    if (job.spec.each.fits_in(machine.free())) return false;  // placed there without preemption
-    fits_after_stops |= job.spec.each.fits_in(free_after_quick_stops(job, capacity));
+    if (job.spec.task_resources.fits_in(machine.free())) return false;  // placed there without preemption
+    fits_after_stops |= job.spec.task_resources.fits_in(free_after_quick_stops(job, capacity));
   }
   return fits_after_stops;
 }
@@ -172,7 +172,8 @@
     const auto other = shard_.jobs.find(id.task.job);
     if (!can_be_stopped(placement) || other == shard_.jobs.end()) continue;
     const JobSpec& spec = other->second.spec;
-    if (spec.priority < job.spec.priority && spec.save <= kQuickStopTime) free += placement.resources;
+    if (spec.priority < job.spec.priority && spec.save_duration <= kQuickStopTime)
+      free += placement.resources;
   }
   return free;
 }
@@ -198,7 +199,7 @@
   --remaining_jobs_;
   for (FreeCapacity& capacity : capacities_) capacity.free = capacity.machine->free();
   const Job& job = *entry.job;
-  const Resources& each = job.spec.each;
+  const Resources& each = job.spec.task_resources;
   // Limited to the tasks that the quota share lets start. Otherwise two teams could keep stopping each
   // other's tasks.
   const std::int64_t startable = job.quota_share_exhausted
--- a/src/core/placement/queue_order.cpp
+++ b/src/core/placement/queue_order.cpp
@@ -19,11 +19,11 @@
     case Objective::Kind::wait:
       return job.accepted_at + objective.within;
     case Objective::Kind::finished:
-      return job.accepted_at + objective.within - job.spec.estimate;
+      return job.accepted_at + objective.within - job.spec.estimated_task_duration;
     case Objective::Kind::deadline: {
       if (!job.spec.deadline) return std::nullopt;
       const Micros within = seconds(objective.times * in_seconds(*job.spec.deadline));
-      return job.accepted_at + within - job.spec.estimate;
+      return job.accepted_at + within - job.spec.estimated_task_duration;
     }
     case Objective::Kind::guarantee:
       break;  // applies to teams, not to single jobs
@@ -70,7 +70,7 @@
     // Prevents starvation: under constant load there are always more urgent jobs, and a job could wait for
     // its first task forever.
     if (first_task_is_overdue(job, context)) urgency.missed_objectives = kFirstTaskOverdue;
-    const Quota used_with_one_more = shard.used(team) + quota_of(job.spec.each);
+    const Quota used_with_one_more = shard.used(team) + quota_of(job.spec.task_resources);
     const bool guaranteed = used_with_one_more.fits_in(guarantee_of(context.settings, shard, team));
     shard.queue.push_back({&job, urgency.missed_objectives, urgency.start_by, guaranteed});
   }
--- a/src/core/placement/scheduler.cpp
+++ b/src/core/placement/scheduler.cpp
@@ -21,7 +21,7 @@
 
 std::int64_t smallest_cpu(const std::vector<QueueEntry>& queue) {
   std::int64_t smallest = INT64_MAX;
-  for (const QueueEntry& entry : queue) smallest = std::min(smallest, entry.job->spec.each.cpu);
+  for (const QueueEntry& entry : queue) smallest = std::min(smallest, entry.job->spec.task_resources.cpu);
   return smallest;
 }
 
@@ -54,7 +54,8 @@
     job.only_where_cached = preemption.starts_sooner_where_cached(job, tasks_per_zone);
     if (!capacities.empty()) placer_.place_on_best(shard, job, capacities, tasks_per_zone);
     remove_too_small(capacities, smallest);
-    if (!job.waiting.empty() && !quota_of(job.spec.each).fits_in(shard.free_quota_share(job.spec.team)))
+    if (!job.waiting.empty() &&
+        !quota_of(job.spec.task_resources).fits_in(shard.free_quota_share(job.spec.team)))
       job.quota_share_exhausted = true;
     job.tasks_without_capacity = count_tasks_without_capacity(job);
     if (job.tasks_without_capacity == 0) {
@@ -90,7 +91,7 @@
   const Machine& machine = *capacity.machine;
   if (!may_start_on(shard, job, machine)) return;
   if ((only_if_cached || job.only_where_cached) && !machine.images.contains(job.spec.image)) return;
-  if (!job.spec.each.fits_in(capacity.free)) return;
+  if (!job.spec.task_resources.fits_in(capacity.free)) return;
   TasksPerZone tasks_per_zone = tasks_per_zone_of(shard, job);
   placer_.place_on(shard, job, capacity, tasks_per_zone);
 }
@@ -105,7 +106,7 @@
 
 Scheduler::CallCapacity Scheduler::capacity_for(const Shard& shard, const CallForProposals& call) const {
   Job probe;
-  probe.spec.each = call.each;
+  probe.spec.task_resources = call.task_resources;
   probe.spec.types = call.types;
   probe.spec.spot = call.spot;
   if (!call.zone.empty()) probe.spec.zone = call.zone;
@@ -113,19 +114,20 @@
   for (const auto& [name, machine] : shard.machines) {
     if (!fleet_.is_usable(machine) || !is_allowed_on(probe, machine, {})) continue;
     const Resources free = machine.free();
-    const std::int64_t tasks = free.count_that_fit(call.each);
+    const std::int64_t tasks = free.count_that_fit(call.task_resources);
     capacity.now += tasks;
     capacity.cached |= tasks > 0 && machine.images.contains(call.image);
     if (capacity.now < call.tasks)
       capacity.soon +=
-          (free + machine.released_by(state_.now() + kOfferHorizon)).count_that_fit(call.each) - tasks;
+          (free + machine.released_by(state_.now() + kOfferHorizon)).count_that_fit(call.task_resources) -
+          tasks;
   }
   return capacity;
 }
 
 Scheduler::Offer Scheduler::offer(Shard& shard, const CallForProposals& call) const {
   const Quota quota = shard.free_quota_share(call.team) + call.spare_quota;
-  const std::int64_t within_quota = quota.count_that_fit(quota_of(call.each));
+  const std::int64_t within_quota = quota.count_that_fit(quota_of(call.task_resources));
   if (within_quota <= 0) return {};
   const std::int64_t max_tasks = std::min(within_quota, std::int64_t{call.tasks});
   const CallCapacity capacity = capacity_for(shard, call);
@@ -140,7 +142,7 @@
     out.tasks = static_cast<std::uint32_t>(std::min(capacity.soon, max_tasks));
     out.delay = kOfferHorizon + kAssumedFetchTime;
   }
-  if (call.disclosed && call.deadline_in.count() > 0 && out.delay > call.deadline_in) out.tasks = 0;
+  if (call.disclosed && call.time_to_deadline.count() > 0 && out.delay > call.time_to_deadline) out.tasks = 0;
   return out;
 }
 
--- a/src/core/provisioning/demand.cpp
+++ b/src/core/provisioning/demand.cpp
@@ -13,9 +13,9 @@
 
 void pack(Bin& bin, Demand& demand) {
   const JobSpec& spec = demand.job->spec;
-  if (demand.tasks <= 0 || bin.free.cpu < spec.each.cpu || !suits(spec, bin.offering)) return;
-  const std::int64_t tasks = std::min(demand.tasks, bin.free.count_that_fit(spec.each));
-  bin.free -= spec.each * tasks;
+  if (demand.tasks <= 0 || bin.free.cpu < spec.task_resources.cpu || !suits(spec, bin.offering)) return;
+  const std::int64_t tasks = std::min(demand.tasks, bin.free.count_that_fit(spec.task_resources));
+  bin.free -= spec.task_resources * tasks;
   demand.tasks -= tasks;
 }
 
@@ -56,7 +56,7 @@
 
 Demand DemandEstimate::demand_of(Job& job, const Quota& free_quota) const {
   Demand demand{&job, std::min<std::int64_t>(job.tasks_without_capacity,
-                                             free_quota.count_that_fit(quota_of(job.spec.each)))};
+                                             free_quota.count_that_fit(quota_of(job.spec.task_resources)))};
   if (!state_.context.settings.is_best_effort(job.spec)) return demand;
   demand.best_effort = true;
   const Micros waiting_for = state_.context.wall - job.accepted_at;
@@ -76,7 +76,7 @@
     const auto [free_quota, inserted] = free_quotas.try_emplace(job.spec.team);
     if (inserted) free_quota->second = shard.free_quota_share(job.spec.team);
     Demand demand = demand_of(job, free_quota->second);
-    free_quota->second -= quota_of(job.spec.each) * demand.tasks;
+    free_quota->second -= quota_of(job.spec.task_resources) * demand.tasks;
     for (Bin& bin : bins) pack(bin, demand);
     if (demand.tasks > 0) demands.push_back(demand);
   }
--- a/src/core/provisioning/offering_selector.cpp
+++ b/src/core/provisioning/offering_selector.cpp
@@ -31,7 +31,7 @@
                                        const MachineType& type, const Offering& offering) const {
   std::int64_t wanted_cpu = 0;
   for (const Demand& other : demands)
-    if (suits(other.job->spec, offering)) wanted_cpu += other.job->spec.each.cpu * other.tasks;
+    if (suits(other.job->spec, offering)) wanted_cpu += other.job->spec.task_resources.cpu * other.tasks;
   const double price = offering.spot ? type.spot_price : type.price;
   double cost = price / static_cast<double>(std::min(type.size.cpu, wanted_cpu));
   cost *= 1.0 + in_seconds(type.boot) / kBootSecondsDoublingCost;
@@ -53,7 +53,7 @@
     best_cost = cost;
   };
   for (const MachineType& type : state_.catalogue) {
-    if (type.size.count_that_fit(demand.job->spec.each) <= 0) continue;
+    if (type.size.count_that_fit(demand.job->spec.task_resources) <= 0) continue;
     for (const std::string& zone : type.zones)
       for (const bool spot : {false, true}) consider(type, {type.name, zone, spot});
   }
--- a/src/core/state/shard.h
+++ b/src/core/state/shard.h
@@ -134,7 +134,7 @@
       return;
     }
     placement.of_service = job->spec.shape == Shape::service;
-    placement.resources = job->spec.each;
+    placement.resources = job->spec.task_resources;
     placement.image = job->spec.image;
     placement.image_gb = job->spec.image_gb;
     placement.usage = &quota.usage.by_team[job->spec.team];
--- a/src/core/workers/command_builder.cpp
+++ b/src/core/workers/command_builder.cpp
@@ -90,11 +90,12 @@
 /// and even if the machine hangs while it saves. Only awarded jobs have that limit.
 Micros CommandBuilder::stop_grace_period(const Shard& shard, const Job& job) const {
   const Settings& settings = state_.context.settings;
-  if (job.ended || job.spec.checkpoint.count() == 0) return {};
-  const Micros longest_save = upper_bound_on_local_clock(std::max(settings.worker_lease, job.spec.save));
+  if (job.ended || job.spec.checkpoint_interval.count() == 0) return {};
+  const Micros longest_save =
+      upper_bound_on_local_clock(std::max(settings.worker_lease, job.spec.save_duration));
   const bool in_time = job.owner.empty() ||
                        state_.now() + longest_save <= shard.award_freshness.read_at + settings.cancel_within;
-  return in_time ? job.spec.save : Micros{0};
+  return in_time ? job.spec.save_duration : Micros{0};
 }
 
 std::vector<Command> CommandBuilder::stops_for_unknown_tasks(const Shard& shard, const Heartbeat& heartbeat) {
--- a/src/core/workers/fleet_handover.cpp
+++ b/src/core/workers/fleet_handover.cpp
@@ -46,9 +46,9 @@
     if (found == shard.machines.end()) continue;
     Machine& machine = found->second;
     for (const TaskStatus& status : unreachable.tasks) tasks_.apply_status(shard, machine, status, 0);
-    machine.liveness.last_status_at = shard.acquired_at - unreachable.status_ago;
-    machine.liveness.last_heartbeat_at = shard.acquired_at - unreachable.status_ago;
-    machine.liveness.last_reply_at = shard.acquired_at - unreachable.reply_ago;
+    machine.liveness.last_status_at = shard.acquired_at - unreachable.since_last_status;
+    machine.liveness.last_heartbeat_at = shard.acquired_at - unreachable.since_last_status;
+    machine.liveness.last_reply_at = shard.acquired_at - unreachable.since_last_reply;
     shard.set_reconciled(machine, true);
   }
 }
--- a/src/core/workers/task_tracker.cpp
+++ b/src/core/workers/task_tracker.cpp
@@ -74,7 +74,7 @@
 void TaskTracker::on_running(Machine& machine, Placement& placement, const Job* job) const {
   placement.running_since = state_.now();
   if (job != nullptr && job->spec.shape == Shape::array)
-    placement.ends_at = placement.running_since + job->spec.estimate;
+    placement.ends_at = placement.running_since + job->spec.estimated_task_duration;
   if (!placement.image.empty()) machine.images.record_use(placement.image, placement.image_gb, state_.now());
 }
 
--- a/src/wire/user_protocol.cpp
+++ b/src/wire/user_protocol.cpp
@@ -65,7 +65,7 @@
   spec.shape = reader.one_of(kShape, kShapes);
   spec.priority = reader.one_of(kPriority, kPriorities);
   spec.tasks = read_task_count(reader);
-  spec.each = read_task_resources(reader);
+  spec.task_resources = read_task_resources(reader);
   spec.types = read_machine_types(reader);
   spec.zone = reader.optional_name(kZone);
   spec.one_zone = reader.flag_or(kOneZone, false);
@@ -73,9 +73,9 @@
   spec.spot = reader.flag_or(kSpot, false);
   spec.image = reader.name(kImage);
   spec.image_gb = reader.amount(kImageGb);
-  spec.estimate = reader.duration(kEstimate);
-  spec.checkpoint = reader.duration(kCheckpoint);
-  spec.save = reader.duration(kSave);
+  spec.estimated_task_duration = reader.duration(kEstimate);
+  spec.checkpoint_interval = reader.duration(kCheckpoint);
+  spec.save_duration = reader.duration(kSave);
   spec.deadline = reader.optional_duration(kDeadline);
   return spec;
 }
@@ -122,9 +122,9 @@
                       {kShape, name_of(spec.shape, kShapes)},
                       {kPriority, name_of(spec.priority, kPriorities)},
                       {kTasks, spec.tasks},
-                      {kCpus, from_thousandths(spec.each.cpu)},
-                      {kGpus, from_thousandths(spec.each.gpu)},
-                      {kMemory, from_thousandths(spec.each.memory)},
+                      {kCpus, from_thousandths(spec.task_resources.cpu)},
+                      {kGpus, from_thousandths(spec.task_resources.gpu)},
+                      {kMemory, from_thousandths(spec.task_resources.memory)},
                       {kImage, spec.image},
                       {kImageGb, spec.image_gb},
                       {kMachineTypes, spec.types.empty() ? json() : json(spec.types)},
@@ -132,9 +132,9 @@
                       {kOneZone, spec.one_zone},
                       {kSpread, spec.spread},
                       {kSpot, spec.spot},
-                      {kEstimate, in_seconds(spec.estimate)},
-                      {kCheckpoint, in_seconds(spec.checkpoint)},
-                      {kSave, in_seconds(spec.save)},
+                      {kEstimate, in_seconds(spec.estimated_task_duration)},
+                      {kCheckpoint, in_seconds(spec.checkpoint_interval)},
+                      {kSave, in_seconds(spec.save_duration)},
                       {kDeadline, spec.deadline ? json(in_seconds(*spec.deadline)) : json()}};
   return value.dump();
 }
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -11,12 +11,12 @@
   CallForProposals call;
   call.id = UINT64_MAX;
   call.tasks = 100'000;
-  call.each = {2500, 0, 64'000'000};
+  call.task_resources = {2500, 0, 64'000'000};
   call.types = {"small", "large"};
   call.spare_quota = {-5, 0};
   call.disclosed = true;
   call.priority = Priority::production;
-  call.deadline_in = seconds(-3);
+  call.time_to_deadline = seconds(-3);
   JobSpec spec;
   spec.id = "run-1";
   spec.zone = "east";
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -43,10 +43,10 @@
     record.spec.shape = shape;
     record.spec.priority = priority;
     record.spec.tasks = tasks;
-    record.spec.each = {4000, 0, 1000};
+    record.spec.task_resources = {4000, 0, 1000};
     record.spec.image = "image";
     record.spec.image_gb = 2;
-    record.spec.estimate = seconds(60);
+    record.spec.estimated_task_duration = seconds(60);
     record.spec.spot = true;
     return Jobs::load(shard, record);
   }
--- a/tests/recorded_cases.cpp
+++ b/tests/recorded_cases.cpp
@@ -146,7 +146,7 @@
   call.job = "run-1";
   call.team = "blue";
   call.tasks = 100'000;
-  call.each = {2500, 1000, 64'000'000};
+  call.task_resources = {2500, 1000, 64'000'000};
   call.types = {"small", "large"};
   call.zone = "east";
   call.spot = true;
@@ -156,10 +156,10 @@
   call.id = UINT64_MAX;
   call.round = 3;
   call.disclosed = true;
-  call.each = {kMost64, kLeast64, 0};
+  call.task_resources = {kMost64, kLeast64, 0};
   for (const auto& [name, priority] : priorities()) {
     call.priority = priority;
-    call.deadline_in = call.deadline_in == Micros{0} ? seconds(-3) : Micros{kMost64};
+    call.time_to_deadline = call.time_to_deadline == Micros{0} ? seconds(-3) : Micros{kMost64};
     out.emplace_back("call disclosed " + name, call);
   }
   out.emplace_back("proposal", Proposal{9, 3, "node-1", 12, seconds(2), 730, 4711, {8000, 0}});
--- a/tests/recorded_values.h
+++ b/tests/recorded_values.h
@@ -46,10 +46,10 @@
   s.job_class = "batch";
   s.team = "blue";
   s.tasks = 4;
-  s.each = {2500, 0, 8000};
+  s.task_resources = {2500, 0, 8000};
   s.image = "registry/image:1";
   s.image_gb = 1.25;
-  s.estimate = seconds(30);
+  s.estimated_task_duration = seconds(30);
   return s;
 }
 
@@ -58,15 +58,15 @@
   JobSpec s = plain_job();
   s.id = "run-9007199254740993";
   s.tasks = 100'000;
-  s.each = {1, 1000, 1'000'000'000};
+  s.task_resources = {1, 1000, 1'000'000'000};
   s.types = {"small", "large"};
   s.zone = "east";
   s.one_zone = true;
   s.spread = true;
   s.spot = true;
   s.image_gb = 0.1;
-  s.checkpoint = seconds(5);
-  s.save = millis(1500);
+  s.checkpoint_interval = seconds(5);
+  s.save_duration = millis(1500);
   s.deadline = seconds(90);
   return s;
 }
@@ -87,8 +87,8 @@
   with("in one zone", [](JobSpec& s) { s.one_zone = true; });
   with("spread", [](JobSpec& s) { s.spread = true; });
   with("on spot machines", [](JobSpec& s) { s.spot = true; });
-  with("with checkpoints", [](JobSpec& s) { s.checkpoint = seconds(5); });
-  with("with a time to save", [](JobSpec& s) { s.save = Micros{1}; });
+  with("with checkpoints", [](JobSpec& s) { s.checkpoint_interval = seconds(5); });
+  with("with a time to save", [](JobSpec& s) { s.save_duration = Micros{1}; });
   with("with a deadline", [](JobSpec& s) { s.deadline = seconds(90); });
   with("with a deadline of zero", [](JobSpec& s) { s.deadline = Micros{0}; });
   with("with a large image", [](JobSpec& s) { s.image_gb = 1e9; });
--- a/tests/sim/checker.cpp
+++ b/tests/sim/checker.cpp
@@ -102,7 +102,7 @@
   if (!job.began_at) job.began_at = now;
   job.places.emplace(task.index, Place{machine, zone});
   Quota& used = used_[spec.team];
-  used += quota_of(spec.each);
+  used += quota_of(spec.task_resources);
   const Team* team = settings_.team(spec.team);
   if (team == nullptr || !used.fits_in(team->limit)) violation("quota", spec.team + " with " + what);
 }
@@ -114,7 +114,7 @@
       std::find_if(begin, end, [&](const auto& entry) { return entry.second.machine == machine; });
   if (place == end) return;
   job.places.erase(place);
-  used_[job.spec.team] -= quota_of(job.spec.each);
+  used_[job.spec.team] -= quota_of(job.spec.task_resources);
 }
 
 // ---- queries -------------------------------------------------------------------------------------
--- a/tests/sim/held_shard.h
+++ b/tests/sim/held_shard.h
@@ -48,7 +48,7 @@
     record.spec.id = kTask.job;
     record.spec.team = "t";
     record.spec.tasks = 1;
-    record.spec.each = {1000, 0, 1};
+    record.spec.task_resources = {1000, 0, 1};
     return Jobs::load(shard, record);
   }
   Machine& machine() { return shard.machines.at("m"); }
--- a/tests/sim/jobs_fixture.h
+++ b/tests/sim/jobs_fixture.h
@@ -27,7 +27,7 @@
     out.id = kTask.job;
     out.team = "t";
     out.tasks = 1;
-    out.each = {1000, 0, 1};
+    out.task_resources = {1000, 0, 1};
     return out;
   }
   /// Makes an event happen, and collects the calls, queries and replies that it leads to.
--- a/tests/sim/neglect_check.cpp
+++ b/tests/sim/neglect_check.cpp
@@ -12,7 +12,7 @@
 bool NeglectCheck::could_run(const User& user) const {
   const JobSpec& job = user.job;
   if (!user.accepted || !environment_.checker.has_waiting_tasks(job.id)) return false;
-  const Quota with_one_more = environment_.checker.used(job.team) + quota_of(job.each);
+  const Quota with_one_more = environment_.checker.used(job.team) + quota_of(job.task_resources);
   return with_one_more.fits_in(environment_.settings.team(job.team)->limit) && has_machine_for(job);
 }
 
@@ -27,7 +27,7 @@
 bool NeglectCheck::fits(const JobSpec& job, const SimulatedCloud::Machine& machine) {
   return machine.is_up() && machine.worker->is_healthy() && (!machine.spot || job.spot) &&
          job.allows_type(machine.type) && (!job.zone || *job.zone == machine.zone) &&
-         job.each.fits_in(machine.worker->free());
+         job.task_resources.fits_in(machine.worker->free());
 }
 
 bool NeglectCheck::allows_zone(const JobSpec& job, const std::string& zone,
--- a/tests/sim/simulated_machines.cpp
+++ b/tests/sim/simulated_machines.cpp
@@ -54,7 +54,7 @@
 Micros SimulatedMachines::run_time(const TaskId& task) const {
   const JobSpec& job = environment_.jobs.at(task.job);
   if (job.shape == Shape::service) return kServiceRunTime;
-  const std::int64_t estimate = job.estimate.count();
+  const std::int64_t estimate = job.estimated_task_duration.count();
   // The few tasks of a long job end far apart.
   if (environment_.scenario.long_tasks && job.tasks <= 3) return Micros{estimate * (1 + task.index % 3) / 3};
   return Micros{estimate * (8 + task.index % 5) / 10};
--- a/tests/sim/simulated_users_jobs.cpp
+++ b/tests/sim/simulated_users_jobs.cpp
@@ -35,7 +35,7 @@
   job.job_class = "class";
   job.image = "image-" + std::to_string(simulation.pick(3));
   job.image_gb = 1.0;
-  job.each = {2000, 0, 4000};
+  job.task_resources = {2000, 0, 4000};
   if (simulation.chance() < (impatient ? kShareOfServicesOfImpatientUsers : kShareOfServices)) {
     job.shape = Shape::service;
     job.tasks = 1;
@@ -45,7 +45,7 @@
   job = with_array_drawn(std::move(job));
   if (impatient) {
     job.tasks = static_cast<std::uint32_t>(1 + simulation.pick(3));
-    job.estimate = seconds(3 + simulation.chance() * 5);
+    job.estimated_task_duration = seconds(3 + simulation.chance() * 5);
   }
   return job;
 }
@@ -53,17 +53,17 @@
 JobSpec SimulatedUsers::with_array_drawn(JobSpec job) {
   Simulation& simulation = environment_.simulation;
   job.tasks = static_cast<std::uint32_t>(1 + simulation.pick(24));
-  job.estimate = seconds(4 + simulation.chance() * 10);
+  job.estimated_task_duration = seconds(4 + simulation.chance() * 10);
   job.spot = simulation.chance() < 0.5;
   job.deadline = seconds(120);
   if (environment_.scenario.long_tasks) {
     const int spread = simulation.chance() < 0.7 ? 2 : 8;
     job.tasks = 2 + static_cast<std::uint32_t>(simulation.pick(spread));
-    job.estimate = seconds(30 + simulation.chance() * 50);
+    job.estimated_task_duration = seconds(30 + simulation.chance() * 50);
   }
   if (simulation.chance() < 0.3) {
-    job.checkpoint = seconds(2);
-    job.save = seconds(1);
+    job.checkpoint_interval = seconds(2);
+    job.save_duration = seconds(1);
   }
   job = with_zone_rule_drawn(std::move(job));
   if (simulation.chance() < 0.2) job.types = {"large"};
--- a/tests/sim/simulated_worker.cpp
+++ b/tests/sim/simulated_worker.cpp
@@ -29,7 +29,7 @@
 Resources SimulatedWorker::free() const {
   Resources left = type_.size;
   for (const auto& [key, task] : tasks_)
-    if (task.phase != TaskPhase::exited) left -= hooks_.job(key.first.job)->each;
+    if (task.phase != TaskPhase::exited) left -= hooks_.job(key.first.job)->task_resources;
   return left;
 }
 
@@ -187,11 +187,11 @@
   bool is_here = false;
   for (const auto& [key, other] : tasks_) {
     if (other.phase == TaskPhase::exited) continue;
-    used += hooks_.job(key.first.job)->each;
+    used += hooks_.job(key.first.job)->task_resources;
     is_here |= key.first == task;
   }
   if (is_here) return {TaskPhase::exited, ExitCause::busy, now};
-  if (!(used + job->each).fits_in(type_.size))
+  if (!(used + job->task_resources).fits_in(type_.size))
     return {TaskPhase::exited, ExitCause::insufficient_resources, now};
   const bool cached = images_.contains(job->image);
   const Micros fetch_time = cached ? Micros{0} : seconds(job->image_gb / type_.fetch_gb_per_s);
@@ -200,10 +200,11 @@
 
 void SimulatedWorker::execute_stop(const Key& key, LocalTask& task, Micros grace, Micros now) {
   const JobSpec* job = hooks_.job(key.first.job);
-  const bool saves = task.phase == TaskPhase::running && job->checkpoint.count() > 0 && grace >= job->save;
+  const bool saves =
+      task.phase == TaskPhase::running && job->checkpoint_interval.count() > 0 && grace >= job->save_duration;
   if (saves) {
     task.phase = TaskPhase::saving;
-    task.phase_ends_at = now + job->save;
+    task.phase_ends_at = now + job->save_duration;
   } else if (task.phase != TaskPhase::saving || grace == Micros{0}) {
     record_end(key, task);
     task = {TaskPhase::exited, ExitCause::stopped, now};
--- a/tests/size_test.cpp
+++ b/tests/size_test.cpp
@@ -79,10 +79,10 @@
     spec.team = "team";
     spec.job_class = "class";
     spec.tasks = tasks;
-    spec.each = {2000, 0, 4000};
+    spec.task_resources = {2000, 0, 4000};
     spec.image = "image";
     spec.image_gb = 1;
-    spec.estimate = seconds(1000);
+    spec.estimated_task_duration = seconds(1000);
     const std::uint64_t request = ++request_;
     event([&] { core_->on_submit(request, spec); });
   }
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -22,7 +22,7 @@
   const auto parsed = parse_job_spec(good_job().dump());
   const auto* s = std::get_if<JobSpec>(&parsed);
   ASSERT_NE(s, nullptr) << std::get<FieldError>(parsed).text();
-  EXPECT_EQ(s->each, (Resources{2500, 0, 8000}));
+  EXPECT_EQ(s->task_resources, (Resources{2500, 0, 8000}));
   EXPECT_EQ(s->deadline, seconds(90));
   EXPECT_FALSE(s->zone);
   EXPECT_EQ(std::get<JobSpec>(parse_job_spec(body_of(*s))), *s);
