--- a/src/core/controller/shard_loader.cpp
+++ b/src/core/controller/shard_loader.cpp
@@ -64,7 +64,7 @@
 
 void ShardLoader::load_jobs(Shard& shard, const RecordReads& reads) {
   for (const KeyValue& entry : reads.live_jobs) {
-    const auto record = records::live_job(entry.value);
+    const auto record = records::read_live_job(entry.value);
     if (!record) continue;
     jobs_.remember_shard(*record);
     if (record->shard != shard.name) continue;
@@ -86,7 +86,7 @@
   Shard* shard = shard_of(load);
   if (shard == nullptr) return;
   if (response.outcome == StoreResponse::Outcome::absent) return create_quota_allocation(load, *shard);
-  const auto allocation = records::read_first(response, records::quota_allocation);
+  const auto allocation = records::read_first(response, records::read_quota_allocation);
   if (!allocation) return retry(load, &ShardLoader::read_quota_allocation);
   shard->quota.load(allocation->quota_shares, response.entries.front().revision);
   become_ready(*shard);
--- a/src/core/jobs/cancellations.cpp
+++ b/src/core/jobs/cancellations.cpp
@@ -52,7 +52,7 @@
   // records.
   if (response.outcome == Outcome::absent)
     return polls_.read(cancellation.job, cancellation.respond, RequestOrigin::peer);
-  const auto record = records::read_first(response, records::live_job);
+  const auto record = records::read_first(response, records::read_live_job);
   if (!record) {
     log_unreadable(state_.context, records::live_key(cancellation.job), record.error());
     return forward_to_all_peers(cancellation);
--- a/src/core/jobs/final_state_writer.cpp
+++ b/src/core/jobs/final_state_writer.cpp
@@ -92,7 +92,7 @@
 
 void FinalStateWriter::on_stored_state(const FinalWrite& write, const StoreResponse& response,
                                        const ReplyCallback& respond) {
-  const auto record = records::read_first(response, records::final_job);
+  const auto record = records::read_first(response, records::read_final_job);
   if (!record) {
     log_unreadable(state_.context, records::final_job_key(write.job), record.error());
     respond(replies::unavailable(write.job));
--- a/src/core/jobs/finished_task_recorder.cpp
+++ b/src/core/jobs/finished_task_recorder.cpp
@@ -10,24 +10,25 @@
 constexpr std::size_t kMaxTransactionBytes = 48 * 1024;  ///< leaves a margin below the limit of 64 KiB
 
 std::size_t tasks_in_chunk(const Job& job, std::uint32_t chunk) {
-  return std::min<std::size_t>(records::kChunk, job.tasks.size() - std::size_t{chunk} * records::kChunk);
+  return std::min<std::size_t>(records::kTasksPerChunk,
+                               job.tasks.size() - std::size_t{chunk} * records::kTasksPerChunk);
 }
 
 std::vector<std::uint32_t> unrecorded_tasks(const Job& job, std::uint32_t chunk) {
   std::vector<std::uint32_t> tasks;
   for (const std::uint32_t index : job.unrecorded)
-    if (index / records::kChunk == chunk) tasks.push_back(index);
+    if (index / records::kTasksPerChunk == chunk) tasks.push_back(index);
   return tasks;
 }
 
 /// Returns all finished tasks of a chunk: those already recorded and the `unrecorded` ones.
 records::DoneBits done_bits(const Job& job, std::uint32_t chunk,
                             const std::vector<std::uint32_t>& unrecorded) {
-  const std::size_t first = std::size_t{chunk} * records::kChunk;
+  const std::size_t first = std::size_t{chunk} * records::kTasksPerChunk;
   records::DoneBits done{job.spec.id, chunk, {}};
   done.bits.resize(tasks_in_chunk(job, chunk));
   for (std::size_t i = 0; i < done.bits.size(); ++i) done.bits[i] = job.recorded[first + i];
-  for (const std::uint32_t index : unrecorded) done.bits[index % records::kChunk] = true;
+  for (const std::uint32_t index : unrecorded) done.bits[index % records::kTasksPerChunk] = true;
   return done;
 }
 
@@ -62,7 +63,7 @@
     if (job.ended || job.finalizing) continue;
     std::optional<std::uint32_t> last_chunk;
     for (const std::uint32_t index : job.unrecorded) {
-      const std::uint32_t chunk = index / records::kChunk;
+      const std::uint32_t chunk = index / records::kTasksPerChunk;
       if (chunk == last_chunk) continue;
       slot_for(shard, job, chunk).dirty = true;
       last_chunk = chunk;
@@ -74,7 +75,7 @@
 /// space or to a new slot.
 FinishedTaskSlot& FinishedTaskRecorder::slot_for(Shard& shard, const Job& job, std::uint32_t chunk) const {
   const std::pair key{job.spec.id, chunk};
-  const std::size_t bytes = records::done_bytes(job.spec.id, tasks_in_chunk(job, chunk));
+  const std::size_t bytes = records::max_done_bytes(job.spec.id, tasks_in_chunk(job, chunk));
   const std::size_t max_bytes = state_.context.settings.store_value_bytes * 9 / 10;
   std::uint32_t next_number = 0;
   FinishedTaskSlot* with_space = nullptr;
@@ -105,7 +106,7 @@
     RecordedChunk unrecorded{id, chunk, unrecorded_tasks(job, chunk)};
     content.value.push_back(done_bits(job, chunk, unrecorded.tasks));
     if (!unrecorded.tasks.empty()) content.chunks.push_back(std::move(unrecorded));
-    slot.bytes += records::done_bytes(id, content.value.back().bits.size());
+    slot.bytes += records::max_done_bytes(id, content.value.back().bits.size());
     ++it;
   }
   return content;
--- a/src/core/jobs/job_polls.cpp
+++ b/src/core/jobs/job_polls.cpp
@@ -70,7 +70,7 @@
     });
     return;
   }
-  const auto record = records::read_first(response, records::live_job);
+  const auto record = records::read_first(response, records::read_live_job);
   if (!record) {
     log_unreadable(state_.context, records::live_key(read.job), record.error());
     return on_record_unavailable(read);
@@ -97,7 +97,7 @@
 
 void JobPolls::on_final_record(const JobRead& read, const StoreResponse& response) {
   if (response.outcome == Outcome::absent) return read.respond(replies::no_such_job(read.job));
-  const auto record = records::read_first(response, records::final_job);
+  const auto record = records::read_first(response, records::read_final_job);
   if (!record) {
     log_unreadable(state_.context, records::final_job_key(read.job), record.error());
     return on_record_unavailable(read);
--- a/src/core/jobs/unfinished_job_reader.cpp
+++ b/src/core/jobs/unfinished_job_reader.cpp
@@ -30,7 +30,7 @@
   shard.unfinished_jobs_read.end();
   if (!response.ok()) return;
   for (const KeyValue& entry : response.entries) {
-    const auto record = records::live_job(entry.value);
+    const auto record = records::read_live_job(entry.value);
     if (!record) log_unreadable(state_.context, entry.key, record.error());
     if (record && record->shard == shard.name) directory_.load_if_current(shard, *record, requested_at);
   }
--- a/src/core/leases/shard_acquisition.cpp
+++ b/src/core/leases/shard_acquisition.cpp
@@ -41,7 +41,7 @@
 void ShardAcquisition::on_record_read(const Acquisition& acquisition, const StoreResponse& response) {
   if (!finish(acquisition) || !response.ok() || response.entries.empty()) return;
   const KeyValue& entry = response.entries.front();
-  const auto record = records::lease_record(entry.value);
+  const auto record = records::read_lease_record(entry.value);
   if (record && is_written_by_this_process(state_, *record))
     hooks_.acquired(acquisition.shard, fencing_token_of(entry.revision), FencingToken{});
 }
--- a/src/core/leases/shard_leases.cpp
+++ b/src/core/leases/shard_leases.cpp
@@ -14,7 +14,7 @@
 /// Returns the lease record in an entry; none if there is no entry or it cannot be parsed.
 std::optional<records::LeaseRecord> lease_record_in(const KeyValue* entry) {
   if (entry == nullptr) return std::nullopt;
-  return records::lease_record(entry->value);
+  return records::read_lease_record(entry->value);
 }
 
 }  // namespace
--- a/src/core/model/records.cpp
+++ b/src/core/model/records.cpp
@@ -160,7 +160,7 @@
 }
 
 Value to_json(const LeaseRecord& lease) { return {{"host", lease.host}, {"incarnation", lease.incarnation}}; }
-ReadResult<LeaseRecord> lease_record(const Value& value) {
+ReadResult<LeaseRecord> read_lease_record(const Value& value) {
   return read_record<LeaseRecord>(value, [](const Value& in) {
     return LeaseRecord{field<std::string>(in, "host"), field<std::string>(in, "incarnation")};
   });
@@ -171,13 +171,13 @@
   for (const auto& [team, share] : allocation.quota_shares) shares[team] = quota_to_json(share);
   return {{"shares", shares}};
 }
-ReadResult<QuotaAllocation> quota_allocation(const Value& value) {
+ReadResult<QuotaAllocation> read_quota_allocation(const Value& value) {
   return read_record<QuotaAllocation>(
       value, [](const Value& in) { return QuotaAllocation{read_field(in, "shares", read_quota_shares)}; });
 }
 
 Value to_json(const FinalJob& job) { return {{"phase", static_cast<int>(job.phase)}, {"tasks", job.tasks}}; }
-ReadResult<FinalJob> final_job(const Value& value) {
+ReadResult<FinalJob> read_final_job(const Value& value) {
   return read_record<FinalJob>(value, [](const Value& in) {
     return FinalJob{read_enumerator_field(in, "phase", JobPhase::cancelled),
                     field<std::uint32_t>(in, "tasks")};
@@ -187,7 +187,7 @@
 Value to_json(const LiveJob& job) {
   return {{"part", job.shard}, {"spec", spec_to_json(job.spec)}, {"accepted", job.accepted_at.count()}};
 }
-ReadResult<LiveJob> live_job(const Value& value) {
+ReadResult<LiveJob> read_live_job(const Value& value) {
   return read_record<LiveJob>(value, [](const Value& in) {
     return LiveJob{field<std::string>(in, "part"), read_field(in, "spec", read_job_spec),
                    read_field(in, "accepted", read_micros)};
@@ -199,7 +199,7 @@
   for (const auto& [first, count] : award.ranges) ranges.push_back({first, count});
   return {{"owner", award.owner}, {"ranges", ranges}, {"job", to_json(award.job)}};
 }
-ReadResult<Award> award(const Value& value) {
+ReadResult<Award> read_award(const Value& value) {
   return read_record<Award>(value, [](const Value& in) {
     Award award;
     award.owner = field<std::string>(in, "owner");
@@ -220,13 +220,13 @@
                    machine.created_at.count()});
   return out;
 }
-std::size_t owned_machine_bytes(const OwnedMachine& machine) {
+std::size_t max_owned_machine_bytes(const OwnedMachine& machine) {
   constexpr std::size_t overhead_bytes = 48;     // quotes, commas, brackets, the spot flag and created_at
   constexpr std::size_t max_address_bytes = 24;  // reserved because the address may be added later
   return machine.name.size() + machine.type.size() + machine.zone.size() +
          std::max(machine.address.size(), max_address_bytes) + overhead_bytes;
 }
-ReadResult<std::vector<OwnedMachine>> owned_machines(const Value& value) {
+ReadResult<std::vector<OwnedMachine>> read_owned_machines(const Value& value) {
   return read_record<std::vector<OwnedMachine>>(value, [](const Value& in) {
     return read_elements<OwnedMachine>(in, [](const Value& entry) {
       return OwnedMachine{element<std::string>(entry, 0), element<std::string>(entry, 1),
@@ -249,7 +249,7 @@
                    {"zones", type.zones}});
   return out;
 }
-ReadResult<std::vector<MachineType>> catalogue(const Value& value) {
+ReadResult<std::vector<MachineType>> read_catalogue(const Value& value) {
   return read_record<std::vector<MachineType>>(value, [](const Value& in) {
     return read_elements<MachineType>(in, [](const Value& entry) {
       MachineType type;
@@ -271,11 +271,11 @@
   for (const DoneBits& chunk : done) out.push_back({chunk.job, chunk.chunk, to_hex(chunk.bits)});
   return out;
 }
-std::size_t done_bytes(const std::string& job, std::size_t tasks) {
+std::size_t max_done_bytes(const std::string& job, std::size_t tasks) {
   constexpr std::size_t overhead_bytes = 24;  // quotes, commas, brackets and the number of the chunk
   return job.size() + tasks / kBitsPerDigit + 1 + overhead_bytes;
 }
-ReadResult<std::vector<DoneBits>> done(const Value& value) {
+ReadResult<std::vector<DoneBits>> read_done_bits(const Value& value) {
   return read_record<std::vector<DoneBits>>(value, [](const Value& in) {
     return read_elements<DoneBits>(in, [](const Value& entry) {
       return DoneBits{element<std::string>(entry, 0), element<std::uint32_t>(entry, 1),
--- a/src/core/model/records.h
+++ b/src/core/model/records.h
@@ -44,10 +44,10 @@
   JobSpec spec;
   Micros accepted_at{0};  ///< wall clock: when the job was accepted
 };
-/// The finished tasks in one chunk of kChunk tasks of a job.
+/// The finished tasks in one chunk of kTasksPerChunk tasks of a job.
 struct DoneBits {
   std::string job;
-  std::uint32_t chunk = 0;  ///< number of the chunk; its first task is `chunk * kChunk`
+  std::uint32_t chunk = 0;  ///< number of the chunk; its first task is `chunk * kTasksPerChunk`
   std::vector<bool> bits;   ///< by task within the chunk: whether the task has finished
 };
 /// Tasks that the owner of a job has awarded to another shard.
@@ -81,13 +81,15 @@
 }
 /// Stands in place of the shard name in the keys of home shard records, so that they sort before the
 /// ownership records of all shards.
-inline const std::string kHomeShards = "-";
+inline const std::string kHomeShardSegment = "-";
 inline std::string ownership_key(const std::string& shard, std::uint32_t block) {
   return "claim/" + shard + "/" + std::to_string(block);
 }
-inline std::string home_shard_key(const std::string& shard) { return "claim/" + kHomeShards + "/" + shard; }
+inline std::string home_shard_key(const std::string& shard) {
+  return "claim/" + kHomeShardSegment + "/" + shard;
+}
 /// Number of tasks in one chunk of a done record. The bitmap of a chunk takes 1 KiB.
-constexpr std::uint32_t kChunk = 4096;
+constexpr std::uint32_t kTasksPerChunk = 4096;
 inline const std::string kLeasePrefix = "hold/";
 inline const std::string kLivePrefix = "live/";
 inline const std::string kDonePrefix = "done/";
@@ -108,22 +110,22 @@
 Value to_json(const Award&);
 Value to_json(const std::vector<OwnedMachine>&);
 /// Returns an upper bound on the bytes that a machine takes in an ownership record.
-std::size_t owned_machine_bytes(const OwnedMachine&);
+std::size_t max_owned_machine_bytes(const OwnedMachine&);
 Value to_json(const std::vector<MachineType>&);
 Value to_json(const std::vector<DoneBits>& done);
 /// Returns an upper bound on the bytes that one chunk of `tasks` tasks takes in a done record.
-std::size_t done_bytes(const std::string& job, std::size_t tasks);
+std::size_t max_done_bytes(const std::string& job, std::size_t tasks);
 
 // Functions that read records. Callers ignore a record that can't be read; log_unreadable() logs the error.
 
-ReadResult<LeaseRecord> lease_record(const Value&);
-ReadResult<QuotaAllocation> quota_allocation(const Value&);
-ReadResult<FinalJob> final_job(const Value&);
-ReadResult<LiveJob> live_job(const Value&);
-ReadResult<Award> award(const Value&);
-ReadResult<std::vector<OwnedMachine>> owned_machines(const Value&);
-ReadResult<std::vector<MachineType>> catalogue(const Value&);
-ReadResult<std::vector<DoneBits>> done(const Value&);
+ReadResult<LeaseRecord> read_lease_record(const Value&);
+ReadResult<QuotaAllocation> read_quota_allocation(const Value&);
+ReadResult<FinalJob> read_final_job(const Value&);
+ReadResult<LiveJob> read_live_job(const Value&);
+ReadResult<Award> read_award(const Value&);
+ReadResult<std::vector<OwnedMachine>> read_owned_machines(const Value&);
+ReadResult<std::vector<MachineType>> read_catalogue(const Value&);
+ReadResult<std::vector<DoneBits>> read_done_bits(const Value&);
 
 /// Reads the record in the response to a GetKey with `read`, one of the functions above.
 template <class Record>
--- a/src/core/negotiation/award_reader.cpp
+++ b/src/core/negotiation/award_reader.cpp
@@ -36,7 +36,7 @@
 /// Marks as done the tasks that the chunk records as done. Tasks placed in this shard are left alone, because
 /// their workers report how they end. Waiting tasks are marked only while the shard is being loaded.
 void apply_done_bits(Job& job, const records::DoneBits& done, ProgressRead read) {
-  const std::size_t first = std::size_t{done.chunk} * records::kChunk;
+  const std::size_t first = std::size_t{done.chunk} * records::kTasksPerChunk;
   for (std::size_t i = 0; i < done.bits.size() && first + i < job.tasks.size(); ++i) {
     if (!done.bits[i]) continue;
     const Task::State state = job.tasks[first + i].state;
@@ -53,7 +53,7 @@
     // The next write of the record leaves out jobs that no longer exist.
     if (job == shard.jobs.end()) continue;
     if (slot.chunks.insert({chunk.job, chunk.chunk}).second)
-      slot.bytes += records::done_bytes(chunk.job, chunk.bits.size());
+      slot.bytes += records::max_done_bytes(chunk.job, chunk.bits.size());
     apply_done_bits(job->second, chunk, ProgressRead::at_takeover);
   }
 }
@@ -120,7 +120,7 @@
 void AwardReader::load_awards(Shard& shard, const std::vector<KeyValue>& entries, Micros requested_at) {
   for (const KeyValue& entry : entries) {
     const std::vector<std::string> key = records::split_key(entry.key);
-    const auto award = records::award(entry.value);
+    const auto award = records::read_award(entry.value);
     if (key.size() != 4 || !award) continue;
     const std::string& winner = key[1];
     if (winner == shard.name)
@@ -201,7 +201,7 @@
     if (key.size() != 3) continue;
     const bool is_own = key[1] == shard.name;
     if (is_own && read == ProgressRead::periodic) continue;
-    const auto chunks = records::done(entry.value);
+    const auto chunks = records::read_done_bits(entry.value);
     if (!is_own) {
       if (chunks) load_progress_of_peer(shard, *chunks, read);
       continue;
--- a/src/core/negotiation/quota_transfer.cpp
+++ b/src/core/negotiation/quota_transfer.cpp
@@ -12,7 +12,7 @@
 /// parsed.
 std::optional<records::QuotaAllocation> allocation_in(const StoreResponse& response) {
   if (!response.ok() || response.entries.empty()) return std::nullopt;
-  return records::quota_allocation(response.entries.front().value);
+  return records::read_quota_allocation(response.entries.front().value);
 }
 
 }  // namespace
--- a/src/core/ownership/machine_ownership.cpp
+++ b/src/core/ownership/machine_ownership.cpp
@@ -83,11 +83,11 @@
   for (const KeyValue& entry : entries) {
     const auto key = records::split_key(entry.key);
     if (key.size() != 3) continue;
-    if (key[1] == records::kHomeShards) {
+    if (key[1] == records::kHomeShardSegment) {
       home_shard_revisions_[key[2]] = entry.revision;
       continue;
     }
-    if (auto owned_machines = records::owned_machines(entry.value))
+    if (auto owned_machines = records::read_owned_machines(entry.value))
       for (const records::OwnedMachine& owned : *owned_machines) shard_of_[owned.name] = key[1];
   }
   // The state of the shards led here is newer than their records: machines may have been added or removed
@@ -103,7 +103,7 @@
 void MachineOwnership::add_block(Shard& shard, std::uint32_t number, const KeyValue& entry,
                                  bool reconciled) const {
   shard.ownership_blocks[number].revision = entry.revision;
-  auto owned_machines = records::owned_machines(entry.value);
+  auto owned_machines = records::read_owned_machines(entry.value);
   if (!owned_machines) return;
   for (const records::OwnedMachine& owned : *owned_machines) {
     Machine machine = machine_from(owned);
--- a/src/core/ownership/machine_ownership_writes.cpp
+++ b/src/core/ownership/machine_ownership_writes.cpp
@@ -47,7 +47,7 @@
   std::size_t bytes = 0;
   while (!requested.empty()) {
     Machine& machine = requested.front();
-    bytes += records::owned_machine_bytes(record_of(machine));
+    bytes += records::max_owned_machine_bytes(record_of(machine));
     block.homes.insert(home_shard(machine.name, machine.zone));
     if (!block.machines.empty() && bytes > limit) break;
     block.machines.push_back(std::move(machine));
--- a/src/core/provisioning/catalogue_reader.cpp
+++ b/src/core/provisioning/catalogue_reader.cpp
@@ -54,7 +54,7 @@
 void CatalogueReader::load_saved() {
   state_.store.get(records::kCatalogueKey, [this](const StoreResponse& response) {
     if (!response.ok() || response.entries.empty() || !state_.catalogue.empty()) return;
-    if (auto types = records::catalogue(response.entries.front().value)) state_.catalogue = *types;
+    if (auto types = records::read_catalogue(response.entries.front().value)) state_.catalogue = *types;
   });
 }
 
--- a/tests/recorded_cases.cpp
+++ b/tests/recorded_cases.cpp
@@ -72,7 +72,7 @@
                std::vector<bool>{false, false, false, true, true, false, true, true, true, true, true, true,
                                  false, true, false, true}}}),
       record("done several chunks", 5,
-             {done_chunk("run-1", 0, kChunk, 1), done_chunk("run-1", 1, kChunk, 5),
+             {done_chunk("run-1", 0, kTasksPerChunk, 1), done_chunk("run-1", 1, kTasksPerChunk, 5),
               done_chunk("run-1", 24, 1696, 2)}),
       record("done of several jobs", 6, {done_chunk("run-1", 0, 12, 2), done_chunk("run-23", 3, 9, 4)}),
   };
@@ -116,7 +116,8 @@
 }
 
 std::optional<std::string> read_and_write_claims(const std::string& key, const Value& value) {
-  if (records::split_key(key).at(1) != records::kHomeShards) return written(records::owned_machines(value));
+  if (records::split_key(key).at(1) != records::kHomeShardSegment)
+    return written(records::read_owned_machines(value));
   if (!value.is_string()) return std::nullopt;
   return Value(value.get<std::string>()).dump();
 }
@@ -230,14 +231,14 @@
 std::optional<std::string> read_and_write_record(const std::string& key, const std::string& value) {
   const Value v = Value::parse(value);
   const std::string kind = records::split_key(key).front();
-  if (kind == "hold") return written(records::lease_record(v));
-  if (kind == "room") return written(records::quota_allocation(v));
-  if (kind == "job") return written(records::final_job(v));
-  if (kind == "live") return written(records::live_job(v));
-  if (kind == "award") return written(records::award(v));
-  if (kind == "done") return written(records::done(v));
+  if (kind == "hold") return written(records::read_lease_record(v));
+  if (kind == "room") return written(records::read_quota_allocation(v));
+  if (kind == "job") return written(records::read_final_job(v));
+  if (kind == "live") return written(records::read_live_job(v));
+  if (kind == "award") return written(records::read_award(v));
+  if (kind == "done") return written(records::read_done_bits(v));
   if (kind == "claim") return read_and_write_claims(key, v);
-  if (kind == "catalogue") return written(records::catalogue(v));
+  if (kind == "catalogue") return written(records::read_catalogue(v));
   if (kind == "policy") return read_and_write_policy(v);
   return std::nullopt;
 }
--- a/tests/records_test.cpp
+++ b/tests/records_test.cpp
@@ -20,20 +20,20 @@
 
 TEST(Records, AreReadAsTheyWereWritten) {
   const Value stored = to_json(live());
-  const auto read = live_job(stored);
+  const auto read = read_live_job(stored);
   ASSERT_TRUE(read.ok());
   EXPECT_EQ(read->spec, live().spec);
   EXPECT_EQ(to_json(*read), stored);
 
   const Award given{"a", {{0, 2}, {5, 1}}, live()};
-  const auto read_award = award(to_json(given));
-  ASSERT_TRUE(read_award.ok());
-  EXPECT_EQ(read_award->ranges, given.ranges);
+  const auto award = read_award(to_json(given));
+  ASSERT_TRUE(award.ok());
+  EXPECT_EQ(award->ranges, given.ranges);
 
   const std::vector<DoneBits> written = {{"run-1", 2, {true, false, false, true, true, false, false, false}}};
-  const auto read_done = done(to_json(written));
-  ASSERT_TRUE(read_done.ok());
-  EXPECT_EQ(read_done->front().bits, written.front().bits);
+  const auto done = read_done_bits(to_json(written));
+  ASSERT_TRUE(done.ok());
+  EXPECT_EQ(done->front().bits, written.front().bits);
 }
 
 TEST(Records, ThatCannotBeReadNameTheFieldAndWhatIsWrong) {
@@ -57,22 +57,23 @@
       stored[pointer.parent_pointer()].erase(pointer.back());
     else
       stored[pointer] = c.value;
-    const auto read = live_job(stored);
+    const auto read = read_live_job(stored);
     ASSERT_FALSE(read.ok()) << c.field;
     EXPECT_EQ(read.error().kind, c.kind) << c.field;
     EXPECT_EQ(read.error().field, c.field);
   }
-  EXPECT_EQ(to_string(live_job(Value::object()).error()), "missing field /part");
-  EXPECT_EQ(done(Value::array({{"run-1", 0, "0x"}})).error(), (ReadError{Kind::out_of_range, "/0/2"}));
+  EXPECT_EQ(to_string(read_live_job(Value::object()).error()), "missing field /part");
+  EXPECT_EQ(read_done_bits(Value::array({{"run-1", 0, "0x"}})).error(),
+            (ReadError{Kind::out_of_range, "/0/2"}));
 }
 
 TEST(Records, ThatAreNotThereAreNoRecord) {
   StoreResponse response;
   response.outcome = StoreResponse::Outcome::absent;
-  EXPECT_EQ(read_first(response, live_job).error().kind, ReadError::Kind::no_record);
+  EXPECT_EQ(read_first(response, read_live_job).error().kind, ReadError::Kind::no_record);
   response.outcome = StoreResponse::Outcome::ok;
   response.entries = {{live_key("run-1"), to_json(live()), 5}};
-  EXPECT_TRUE(read_first(response, live_job).ok());
+  EXPECT_TRUE(read_first(response, read_live_job).ok());
 }
 
 }  // namespace
