--- a/src/app/admin_api.cpp
+++ b/src/app/admin_api.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-using What = AdminRequest::What;
+using Kind = AdminRequest::Kind;
 
 constexpr Micros kReplyTimeout = millis(4500);  ///< the core's time to answer a request
 constexpr char kMetricsType[] = "text/plain; version=0.0.4";
@@ -14,13 +14,13 @@
 /// A resource that is answered by the core.
 struct Resource {
   const char* path;
-  What what;
+  Kind kind;
 };
-constexpr Resource kResources[] = {{"/admin/settings", What::policy},
-                                   {"/admin/parts", What::shards},
-                                   {"/admin/machines", What::machines},
-                                   {"/admin/jobs", What::jobs},
-                                   {"/admin/negotiations", What::negotiations}};
+constexpr Resource kResources[] = {{"/admin/settings", Kind::policy},
+                                   {"/admin/parts", Kind::shards},
+                                   {"/admin/machines", Kind::machines},
+                                   {"/admin/jobs", Kind::jobs},
+                                   {"/admin/negotiations", Kind::negotiations}};
 
 io::Task<HttpReply> answer_error(int status, std::string reason) {
   co_return HttpReply{status, Value{{"error", reason}}.dump(), 0, kJsonType};
@@ -34,10 +34,10 @@
       std::find_if(std::begin(kResources), std::end(kResources),
                    [&](const Resource& candidate) { return request.target == candidate.path; });
   if (resource == std::end(kResources)) return answer_error(404, "no such resource");
-  const bool is_policy = resource->what == What::policy;
+  const bool is_policy = resource->kind == Kind::policy;
   if (is_policy && request.method == "PATCH") return answer_policy_change(request);
   if (request.method != "GET") return answer_error(405, is_policy ? "GET or PATCH only" : "GET only");
-  return submit({resource->what, {}});
+  return submit({resource->kind, {}});
 }
 
 io::Task<HttpReply> AdminApi::answer_metrics() {
@@ -49,7 +49,7 @@
 io::Task<HttpReply> AdminApi::answer_policy_change(const http::Message& request) {
   Value body = Value::parse(request.body, nullptr, false);
   if (body.is_discarded()) return answer_error(400, "body: not JSON");
-  return submit({What::change_policy, std::move(body)});
+  return submit({Kind::change_policy, std::move(body)});
 }
 
 io::Task<HttpReply> AdminApi::submit(AdminRequest request) {
--- a/src/app/daemon.cpp
+++ b/src/app/daemon.cpp
@@ -34,7 +34,7 @@
       user_api_(driver_),
       admin_api_(driver_, metrics_) {
   loop_.on_error = [this](const std::string& what) {
-    log_->error("{}", LogMessage("coroutine failed").why(what).text());
+    log_->error("{}", LogMessage("coroutine failed").reason(what).text());
   };
 }
 
@@ -154,7 +154,7 @@
   for (;;) {
     codec::Decoded frame = codec::decode(buffer);
     if (frame.state == codec::Decoded::State::malformed) {
-      log_->error("{}", LogMessage("peer connection closed").why("malformed message").text());
+      log_->error("{}", LogMessage("peer connection closed").reason("malformed message").text());
       co_return;
     }
     if (frame.state == codec::Decoded::State::incomplete) {
--- a/src/core/controller/controller.cpp
+++ b/src/core/controller/controller.cpp
@@ -133,20 +133,20 @@
 // ---- operators -----------------------------------------------------------------------------------
 
 void Controller::on_admin(std::uint64_t request, const AdminRequest& admin_request) {
-  using What = AdminRequest::What;
-  const auto answer = [&](Value body) { context_.act(AnswerAdmin{request, 200, std::move(body)}); };
-  switch (admin_request.what) {
-    case What::policy:
+  using Kind = AdminRequest::Kind;
+  const auto answer = [&](Value body) { context_.emit(AnswerAdmin{request, 200, std::move(body)}); };
+  switch (admin_request.kind) {
+    case Kind::policy:
       return answer(Policy::to_json(context_.policy));
-    case What::shards:
+    case Kind::shards:
       return answer(overview::shards(state_));
-    case What::machines:
+    case Kind::machines:
       return answer(overview::machines(state_));
-    case What::jobs:
+    case Kind::jobs:
       return answer(overview::jobs(state_));
-    case What::negotiations:
+    case Kind::negotiations:
       return answer(overview::negotiations(contract_net_));
-    case What::change_policy:
+    case Kind::change_policy:
       return policy_.change(request, admin_request.body);
   }
 }
--- a/src/core/controller/controller.h
+++ b/src/core/controller/controller.h
@@ -54,7 +54,7 @@
   void on_peer(const std::string& host, const PeerMessage& message);
 
   /// Sets whether debug lines are written. Their text is only built if they are.
-  void write_debug_lines(bool wanted) { context_.debugging = wanted; }
+  void write_debug_lines(bool wanted) { context_.debug_enabled = wanted; }
   const InvariantCounts& invariants() const { return context_.invariants; }
   /// Whether users' requests should be routed to this controller: its home shard is loaded and the catalogue
   /// is known.
--- a/src/core/controller/policy_store.cpp
+++ b/src/core/controller/policy_store.cpp
@@ -38,7 +38,7 @@
   // A stored policy that can't be applied is replaced by the default one.
   if (revision != 0 && policy.apply(response.entries.front().value)) policy = Policy{};
   if (const auto error = policy.apply(change.fields))
-    return state_.context.act(AnswerAdmin{change.request, 400, {{"error", error->text()}}});
+    return state_.context.emit(AnswerAdmin{change.request, 400, {{"error", error->text()}}});
   write(change, policy, revision);
 }
 
@@ -56,11 +56,11 @@
   if (!response.ok()) return answer_unavailable(change);
   state_.context.policy = policy;
   state_.context.info(LogMessage("policy changed").detail("policy", Policy::to_json(policy).dump()));
-  state_.context.act(AnswerAdmin{change.request, 200, Policy::to_json(policy)});
+  state_.context.emit(AnswerAdmin{change.request, 200, Policy::to_json(policy)});
 }
 
 void PolicyStore::answer_unavailable(const Change& change) {
-  state_.context.act(
+  state_.context.emit(
       AnswerAdmin{change.request, 503, {{"error", "the state service did not confirm; read again"}}});
 }
 
--- a/src/core/controller/shard_loader.cpp
+++ b/src/core/controller/shard_loader.cpp
@@ -21,7 +21,7 @@
 void ShardLoader::load(const Shard& shard) { read_records({shard.name, shard.leadership_term}); }
 
 void ShardLoader::retry(const Load& load, Step step) {
-  state_.context.later(kRetryDelay, [this, load, step] {
+  state_.context.run_after(kRetryDelay, [this, load, step] {
     if (shard_of(load) != nullptr) (this->*step)(load);
   });
 }
--- a/src/core/jobs/ended_jobs.cpp
+++ b/src/core/jobs/ended_jobs.cpp
@@ -16,7 +16,7 @@
         .task(attempt.task.index)
         .attempt(attempt.attempt)
         .machine(machine.name)
-        .why("the job has ended");
+        .reason("the job has ended");
   });
   shard.request_push(machine);
 }
--- a/src/core/jobs/final_state_writer.cpp
+++ b/src/core/jobs/final_state_writer.cpp
@@ -66,7 +66,7 @@
   if (job == nullptr) return respond(replies::unavailable(write.job));
   if (response.outcome == Outcome::conflict) {
     invalidate_leases_();
-    const bool has_stored_state = response.failed_at(records::final_job_key(write.job));
+    const bool has_stored_state = response.condition_failed_on(records::final_job_key(write.job));
     if (has_stored_state) return read_stored_state(write, respond);
   }
   respond(replies::unavailable(write.job));
@@ -81,7 +81,7 @@
 }
 
 void FinalStateWriter::retry_later(const FinalWrite& retry) {
-  state_.context.later(kRetryInterval, [this, retry] { write(retry, ignore_reply); });
+  state_.context.run_after(kRetryInterval, [this, retry] { write(retry, ignore_reply); });
 }
 
 void FinalStateWriter::read_stored_state(const FinalWrite& write, const ReplyCallback& respond) {
@@ -101,13 +101,13 @@
   }
   const bool may_be_own_write = write.outcome_unknown && record->phase == write.phase;
   if (!may_be_own_write && state_.shard_in_term(write.shard, write.leadership_term) != nullptr)
-    state_.context.violated(Invariant::final_state_stays,
-                            LogMessage("final state to be written differs from the one stored")
-                                .shard(write.shard)
-                                .job(write.job)
-                                .detail("stored", to_text(record->phase))
-                                .detail("revision", response.entries.front().revision.value())
-                                .detail("to_be_written", to_text(write.phase)));
+    state_.context.report_violation(Invariant::final_state_stays,
+                                    LogMessage("final state to be written differs from the one stored")
+                                        .shard(write.shard)
+                                        .job(write.job)
+                                        .detail("stored", to_text(record->phase))
+                                        .detail("revision", response.entries.front().revision.value())
+                                        .detail("to_be_written", to_text(write.phase)));
   conclude(write, record->phase, respond);
 }
 
@@ -120,7 +120,7 @@
     shard.mark_ended(*job);
     if (!job->awards.empty())
       for (const auto& [host, route] : state_.routes)
-        state_.context.act(PeerSend{host, JobEndNotice{write.job}});
+        state_.context.emit(PeerSend{host, JobEndNotice{write.job}});
     clean_up_ended_jobs(state_, shard);
   }
   directory_.record_final_state(write.job, final_state);
--- a/src/core/jobs/finished_task_recorder.cpp
+++ b/src/core/jobs/finished_task_recorder.cpp
@@ -160,7 +160,7 @@
     if (!job.owner.empty()) owners.insert(job.owner);
   }
   for (const std::string& owner : owners)
-    state_.context.act(PeerSend{state_.leader_of(owner), ProgressNotice{owner}});
+    state_.context.emit(PeerSend{state_.leader_of(owner), ProgressNotice{owner}});
 }
 
 void FinishedTaskRecorder::read_slot(Shard& shard, std::uint32_t number) {
--- a/src/core/jobs/job_directory.cpp
+++ b/src/core/jobs/job_directory.cpp
@@ -37,10 +37,11 @@
   if (!final_state || reply.status == 503) return reply;
   const bool shows_phase = reply.status == 200 || reply.status == 201;
   if (shows_phase && is_final(reply.phase) && reply.phase != final_state->phase) {
-    state_.context.violated(Invariant::answers_agree, LogMessage("reply differs from the final state")
-                                                          .job(reply.id)
-                                                          .detail("final_state", to_text(final_state->phase))
-                                                          .detail("reply", to_text(reply.phase)));
+    state_.context.report_violation(Invariant::answers_agree,
+                                    LogMessage("reply differs from the final state")
+                                        .job(reply.id)
+                                        .detail("final_state", to_text(final_state->phase))
+                                        .detail("reply", to_text(reply.phase)));
     return replies::unavailable(reply.id);
   }
   if (shows_phase && reply.phase == final_state->phase) return reply;
@@ -62,11 +63,11 @@
   shard_of_.erase(job);
   if (state_.record_job_end(job, final_state)) return;
   const FinalState remembered = *state_.final_states.final_state(job);
-  state_.context.violated(Invariant::final_state_stays,
-                          LogMessage("final state differs from the one remembered")
-                              .job(job)
-                              .detail("remembered", to_text(remembered.phase))
-                              .detail("found", to_text(final_state.phase)));
+  state_.context.report_violation(Invariant::final_state_stays,
+                                  LogMessage("final state differs from the one remembered")
+                                      .job(job)
+                                      .detail("remembered", to_text(remembered.phase))
+                                      .detail("found", to_text(final_state.phase)));
 }
 
 Job& JobDirectory::load(Shard& shard, const records::LiveJob& record) {
--- a/src/core/jobs/jobs.cpp
+++ b/src/core/jobs/jobs.cpp
@@ -76,15 +76,15 @@
           .detail("done", current.done)
           .detail("running", current.running);
     });
-    state_.context.act(AnswerUser{request, current});
+    state_.context.emit(AnswerUser{request, current});
   };
 }
 
 ReplyCallback Jobs::reply_to_peer(const std::string& host, std::uint64_t query) {
   return [this, host, query](const UserReply& reply) {
     const UserReply current = directory_.replace_if_outdated(reply);
-    state_.context.act(PeerSend{host, JobReply{query, static_cast<std::uint32_t>(current.status),
-                                               current.phase, current.done, current.running}});
+    state_.context.emit(PeerSend{host, JobReply{query, static_cast<std::uint32_t>(current.status),
+                                                current.phase, current.done, current.running}});
   };
 }
 
--- a/src/core/jobs/peer_queries.cpp
+++ b/src/core/jobs/peer_queries.cpp
@@ -13,7 +13,7 @@
   if (hosts.empty() || pending_.size() >= kMaxPending) return respond(replies::unavailable(query.job));
   query.id = next_id_++;
   pending_[query.id] = {state_.now() + timeout, hosts.size(), query.job, std::move(respond)};
-  for (const std::string& host : hosts) state_.context.act(PeerSend{host, query});
+  for (const std::string& host : hosts) state_.context.emit(PeerSend{host, query});
 }
 
 void PeerQueries::send_to_all_peers(JobQuery query, Micros timeout, ReplyCallback respond) {
--- a/src/core/jobs/submissions.cpp
+++ b/src/core/jobs/submissions.cpp
@@ -164,12 +164,12 @@
   // Without a response, the jobs may have been accepted or may still be.
   if (response.outcome == Outcome::unknown && shard != nullptr) reader_.read_soon(*shard);
   const bool only_jobs_conflicted =
-      conflict && !response.failed.empty() && !response.failed_at(records::lease_key(batch.shard));
+      conflict && !response.failed.empty() && !response.condition_failed_on(records::lease_key(batch.shard));
   for (Submission& submission : batch.submissions) {
     const std::string& job = submission.record.spec.id;
     const bool may_be_accepted = batch.submissions.size() == 1 ||
-                                 response.failed_at(records::live_key(job)) ||
-                                 response.failed_at(records::final_job_key(job));
+                                 response.condition_failed_on(records::live_key(job)) ||
+                                 response.condition_failed_on(records::final_job_key(job));
     if (conflict && may_be_accepted) {
       reply_from_records(submission);
     } else if (only_jobs_conflicted) {
--- a/src/core/kvstore/key_value_client.cpp
+++ b/src/core/kvstore/key_value_client.cpp
@@ -81,13 +81,14 @@
 }
 
 bool KeyValueClient::send_next(Queue& queue, double reserve) {
-  if (queue.empty() || in_flight_.size() >= kInFlightLimit || !requests_.has(context_.now)) return false;
+  if (queue.empty() || in_flight_.size() >= kInFlightLimit || !requests_.has_tokens(context_.now))
+    return false;
   double writes = 0;
   if (const auto* transaction = std::get_if<Transaction>(&queue.front().request))
     writes = static_cast<double>(transaction->writes.size());
-  if (writes > 0 && !writes_.has(context_.now, std::min(writes + reserve, write_burst_))) return false;
-  requests_.take(context_.now);
-  writes_.take(context_.now, writes);
+  if (writes > 0 && !writes_.has_tokens(context_.now, std::min(writes + reserve, write_burst_))) return false;
+  requests_.try_take(context_.now);
+  writes_.try_take(context_.now, writes);
   Pending next = std::move(queue.front());
   queue.pop_front();
   send(std::move(next));
@@ -111,12 +112,12 @@
 void KeyValueClient::send(Pending pending) {
   const std::uint64_t call = next_call_++;
   InFlight in_flight{std::move(pending.callback), context_.now, {}};
-  if (context_.debugging) in_flight.description = describe(pending.request);
+  if (context_.debug_enabled) in_flight.description = describe(pending.request);
   context_.debug([&] {
     return LogMessage("store request").detail("call", call).detail("request", in_flight.description);
   });
   in_flight_.emplace(call, std::move(in_flight));
-  context_.act(StoreCall{call, std::move(pending.request)});
+  context_.emit(StoreCall{call, std::move(pending.request)});
 }
 
 void KeyValueClient::on_response(std::uint64_t call, const StoreResponse& response) {
--- a/src/core/leases/fencing_token_advance.cpp
+++ b/src/core/leases/fencing_token_advance.cpp
@@ -33,10 +33,11 @@
   shard.token_advance.succeed();
   const FencingToken written_token = fencing_token_of(response.revision);
   if (written_token <= shard.fencing_token)
-    state_.context.violated(Invariant::tokens_grow, LogMessage("lease record written")
-                                                        .shard(shard.name)
-                                                        .token(shard.fencing_token)
-                                                        .detail("revision", to_string(response.revision)));
+    state_.context.report_violation(Invariant::tokens_grow,
+                                    LogMessage("lease record written")
+                                        .shard(shard.name)
+                                        .token(shard.fencing_token)
+                                        .detail("revision", to_string(response.revision)));
   shard.fencing_token = std::max(shard.fencing_token, written_token);
   state_.context.debug(
       [&] { return LogMessage("fencing token advanced").shard(shard.name).token(written_token); });
--- a/src/core/leases/peer_health.cpp
+++ b/src/core/leases/peer_health.cpp
@@ -17,7 +17,7 @@
   next_message_ = state_.now() + kHealthMessageInterval;
   for (const Peer& peer : state_.context.settings.peers) {
     const std::uint32_t redirected = std::exchange(state_.redirected_heartbeats[peer.host], 0);
-    state_.context.act(PeerSend{peer.host, PeerHealth{state_.store.responsive(), redirected}});
+    state_.context.emit(PeerSend{peer.host, PeerHealth{state_.store.responsive(), redirected}});
   }
 }
 
--- a/src/core/leases/shard_acquisition.cpp
+++ b/src/core/leases/shard_acquisition.cpp
@@ -51,7 +51,7 @@
   if (store_lease_.is_granted() && acquisition.store_lease == store_lease_.id()) return true;
   state_.context.info(LogMessage("shard not acquired")
                           .shard(acquisition.shard)
-                          .why("the store lease of its lease record has ended"));
+                          .reason("the store lease of its lease record has ended"));
   hooks_.failed();
   return false;
 }
--- a/src/core/leases/shard_leases.cpp
+++ b/src/core/leases/shard_leases.cpp
@@ -131,7 +131,7 @@
     // An earlier process on this host led the shard. It has ended, as each host runs one process at a time.
     acquisition_.start(shard, route.revision);
   } else if (shard == state_.own_host()) {
-    state_.context.act(PeerSend{route.host, FailbackRequest{shard}});
+    state_.context.emit(PeerSend{route.host, FailbackRequest{shard}});
     next_listing_ = std::min(next_listing_, state_.now() + kUrgentListingInterval);
   }
 }
@@ -179,7 +179,7 @@
   state_.routes[message.shard].host = host;  // redirects workers to the peer; the next list corrects it
   // The peer may acquire the shard only after this controller has stopped acting for it.
   lose_shard(message.shard, to_text(reason));
-  state_.context.act(PeerSend{host, message});
+  state_.context.emit(PeerSend{host, message});
 }
 
 void ShardLeases::on_lease_transfer(const LeaseTransfer& transfer) {
@@ -199,7 +199,7 @@
 }
 
 void ShardLeases::lose_shard(const std::string& name, std::string_view why) {
-  state_.context.info(LogMessage("shard lost").shard(name).why(why));
+  state_.context.info(LogMessage("shard lost").shard(name).reason(why));
   state_.shards.erase(name);
   on_lost_(name);
 }
--- a/src/core/model/store_messages.h
+++ b/src/core/model/store_messages.h
@@ -82,7 +82,7 @@
   std::vector<std::string> failed;  ///< for a conflict: the keys whose condition did not hold; may be empty
   bool ok() const { return outcome == Outcome::ok; }
   /// Whether the condition on this key is known to have failed.
-  [[nodiscard]] bool failed_at(const std::string& key) const {
+  [[nodiscard]] bool condition_failed_on(const std::string& key) const {
     return std::find(failed.begin(), failed.end(), key) != failed.end();
   }
 };
--- a/src/core/model/user_messages.h
+++ b/src/core/model/user_messages.h
@@ -21,8 +21,8 @@
 
 /// A request on the administration API.
 struct AdminRequest {
-  enum class What : std::uint8_t { policy, change_policy, shards, machines, jobs, negotiations };
-  What what = What::policy;
+  enum class Kind : std::uint8_t { policy, change_policy, shards, machines, jobs, negotiations };
+  Kind kind = Kind::policy;
   Value body;  ///< the fields to change, for change_policy only
 };
 
--- a/src/core/negotiation/award_reader.cpp
+++ b/src/core/negotiation/award_reader.cpp
@@ -175,7 +175,7 @@
           .task(attempt.task.index)
           .attempt(attempt.attempt)
           .machine(machine.name)
-          .why("award records not read within the lease term");
+          .reason("award records not read within the lease term");
     });
     shard.request_push(machine);
   }
--- a/src/core/negotiation/quota_transfer.cpp
+++ b/src/core/negotiation/quota_transfer.cpp
@@ -139,7 +139,7 @@
 }
 
 void QuotaTransfer::resolve_later(const PendingTransfer& transfer) {
-  state_.context.later(kResolveRetryDelay, [this, transfer] {
+  state_.context.run_after(kResolveRetryDelay, [this, transfer] {
     if (Shard* shard = state_.shard_in_term(transfer.from, transfer.leadership_term))
       resolve(*shard, transfer);
   });
--- a/src/core/placement/preemption.cpp
+++ b/src/core/placement/preemption.cpp
@@ -108,8 +108,8 @@
           .attempt(candidate.id->attempt)
           .machine(machine.name)
           .detail("for", job_.spec.id)
-          .why(by_priority ? "needed by a job of higher priority"
-                           : "needed for the guarantee of another team");
+          .reason(by_priority ? "needed by a job of higher priority"
+                              : "needed for the guarantee of another team");
     });
     stopped_[candidate.job->spec.team] += quota_of(candidate.placement->resources);
   }
--- a/src/core/provisioning/cloud_client.cpp
+++ b/src/core/provisioning/cloud_client.cpp
@@ -22,10 +22,10 @@
     : context_(context), budget_(controller_budget(context.settings)) {}
 
 bool CloudClient::call(CloudRequest request, Callback callback) {
-  if (!budget_.take(context_.now)) return false;
+  if (!budget_.try_take(context_.now)) return false;
   const std::uint64_t id = next_call_++;
   in_flight_.emplace(id, std::move(callback));
-  context_.act(CloudCall{id, std::move(request)});
+  context_.emit(CloudCall{id, std::move(request)});
   return true;
 }
 
--- a/src/core/provisioning/scale_in.cpp
+++ b/src/core/provisioning/scale_in.cpp
@@ -36,7 +36,7 @@
       return LogMessage("machine decommissioned")
           .shard(shard.name)
           .machine(machine.name)
-          .why("idle longer than the configured time");
+          .reason("idle longer than the configured time");
     });
   }
 }
@@ -89,7 +89,7 @@
     state_.context.info(LogMessage("machine decommissioned")
                             .shard(shard.name)
                             .machine(name)
-                            .why("no status received after its expected boot time"));
+                            .reason("no status received after its expected boot time"));
   }
 }
 
--- a/src/core/provisioning/scale_out.cpp
+++ b/src/core/provisioning/scale_out.cpp
@@ -105,7 +105,7 @@
 void ScaleOut::report_exhausted(const Offering& offering) {
   offerings_.mark_exhausted(offering);
   for (const Peer& peer : state_.context.settings.peers)
-    state_.context.act(PeerSend{peer.host, CapacityExhausted{offering.type, offering.zone, offering.spot}});
+    state_.context.emit(PeerSend{peer.host, CapacityExhausted{offering.type, offering.zone, offering.spot}});
 }
 
 void ScaleOut::on_capacity_exhausted(const CapacityExhausted& exhausted) {
--- a/src/core/runtime/context.cpp
+++ b/src/core/runtime/context.cpp
@@ -2,6 +2,6 @@
 
 namespace bendtide {
 
-void Context::act(Action action) { actions.push_back(std::move(action)); }
+void Context::emit(Action action) { actions.push_back(std::move(action)); }
 
 }  // namespace bendtide
--- a/src/core/runtime/context.h
+++ b/src/core/runtime/context.h
@@ -27,11 +27,11 @@
   Micros wall{0};           ///< wall clock; hosts may differ by up to the clock error bound of the platform
   std::vector<Action> actions;                          ///< in the order of execution
   std::multimap<Micros, std::function<void()>> timers;  ///< by due time on the steady clock
-  bool debugging = false;                               ///< whether debug lines are written
+  bool debug_enabled = false;                           ///< whether debug lines are written
   InvariantCounts invariants{};
 
   /// Calls `callback` in the first tick after `delay`.
-  void later(Micros delay, std::function<void()> callback) {
+  void run_after(Micros delay, std::function<void()> callback) {
     timers.emplace(now + delay, std::move(callback));
   }
   void run_due_timers() {
@@ -41,16 +41,16 @@
     }
   }
   /// Appends an action for the shell to execute.
-  void act(Action action);
-  void log(LogLevel level, std::string text) { act(LogLine{level, std::move(text)}); }
+  void emit(Action action);
+  void log(LogLevel level, std::string text) { emit(LogLine{level, std::move(text)}); }
   void info(const LogMessage& message) { log(LogLevel::info, message.text()); }
   /// Calls `make_message` only if debug lines are written, because there is one for every request or task.
   template <class MakeMessage>
   void debug(MakeMessage&& make_message) {
-    if (debugging) log(LogLevel::debug, make_message().text());
+    if (debug_enabled) log(LogLevel::debug, make_message().text());
   }
   /// Counts and logs a violation. `message` describes the job or shard concerned.
-  void violated(Invariant invariant, const LogMessage& message) {
+  void report_violation(Invariant invariant, const LogMessage& message) {
     const auto index = static_cast<std::size_t>(invariant);
     ++invariants.violations[index];
     log(LogLevel::error, std::string("invariant ") + kInvariantNames[index] + " violated: " + message.text());
--- a/src/core/runtime/log_message.h
+++ b/src/core/runtime/log_message.h
@@ -40,7 +40,7 @@
   }
 
   /// Sets the reason for the event.
-  LogMessage& why(std::string_view reason) {
+  LogMessage& reason(std::string_view reason) {
     reason_ = reason;
     return *this;
   }
--- a/src/core/runtime/token_bucket.h
+++ b/src/core/runtime/token_bucket.h
@@ -13,13 +13,13 @@
  public:
   TokenBucket(double rate, double burst) : rate_(rate), burst_(burst), level_(burst) {}
   /// Takes `tokens` tokens. If the bucket holds fewer, takes none and returns false.
-  bool take(Micros now, double tokens = 1) {
-    if (!has(now, tokens)) return false;
+  bool try_take(Micros now, double tokens = 1) {
+    if (!has_tokens(now, tokens)) return false;
     level_ -= tokens;
     return true;
   }
   /// Whether the bucket holds at least `tokens` tokens.
-  bool has(Micros now, double tokens = 1) {
+  bool has_tokens(Micros now, double tokens = 1) {
     refill(now);
     return level_ >= tokens;
   }
--- a/src/core/runtime/unreadable_record.h
+++ b/src/core/runtime/unreadable_record.h
@@ -12,7 +12,7 @@
 inline void log_unreadable(Context& context, const std::string& key, const records::ReadError& error) {
   if (error.kind == records::ReadError::Kind::no_record) return;
   context.debug([&] {
-    return LogMessage("unreadable record ignored").detail("key", key).why(records::to_string(error));
+    return LogMessage("unreadable record ignored").detail("key", key).reason(records::to_string(error));
   });
 }
 
--- a/src/core/state/controller_state.h
+++ b/src/core/state/controller_state.h
@@ -92,7 +92,7 @@
   }
   /// Sends a message to the leader of a shard, which may be this controller.
   void send_to_leader_of(const std::string& shard, PeerMessage message) {
-    context.act(PeerSend{leader_of(shard), std::move(message)});
+    context.emit(PeerSend{leader_of(shard), std::move(message)});
   }
   /// Returns whether a health message from the host arrived within kPeerTimeout. The controller's own host is
   /// always reachable.
@@ -126,8 +126,8 @@
           .shard(shard.name)
           .job(job)
           .milliseconds("after_ms", now() - requested_at)
-          .why(value == Validity::outdated ? "the job has ended"
-                                           : "the job may have ended since the request");
+          .reason(value == Validity::outdated ? "the job has ended"
+                                              : "the job may have ended since the request");
     });
     return false;
   }
--- a/src/core/workers/command_builder.cpp
+++ b/src/core/workers/command_builder.cpp
@@ -75,12 +75,13 @@
   if (job == nullptr || job->ended || job->finalizing || shard.award_is_stale(*job, state_.now()))
     return false;
   if (!state_.final_states.has_ended(id.task.job)) return true;
-  state_.context.violated(Invariant::finished_job_stays_off, LogMessage("start of a task whose job has ended")
-                                                                 .shard(shard.name)
-                                                                 .token(shard.fencing_token)
-                                                                 .job(id.task.job)
-                                                                 .task(id.task.index)
-                                                                 .attempt(id.attempt));
+  state_.context.report_violation(Invariant::finished_job_stays_off,
+                                  LogMessage("start of a task whose job has ended")
+                                      .shard(shard.name)
+                                      .token(shard.fencing_token)
+                                      .job(id.task.job)
+                                      .task(id.task.index)
+                                      .attempt(id.attempt));
   shard.mark_ended(*job);
   return false;
 }
@@ -109,7 +110,7 @@
 
 void CommandBuilder::log(const Shard& shard, const Machine& machine, const std::vector<Command>& commands,
                          std::uint64_t replied_heartbeat) const {
-  if (!state_.context.debugging) return;
+  if (!state_.context.debug_enabled) return;
   for (const Command& command : commands) {
     state_.context.debug([&] {
       LogMessage message(event_of(shard, command));
--- a/src/core/workers/failure_detector.cpp
+++ b/src/core/workers/failure_detector.cpp
@@ -91,7 +91,7 @@
     state_.context.info(LogMessage("worker lease expired")
                             .shard(shard.name)
                             .machine(machine.name)
-                            .why("no heartbeat was replied to for the whole lease"));
+                            .reason("no heartbeat was replied to for the whole lease"));
   tasks_.release_all(shard, machine);
 }
 
@@ -156,8 +156,8 @@
     state_.context.info(LogMessage("machine decommissioned")
                             .shard(shard.name)
                             .machine(name)
-                            .why(unreachable ? "it sends heartbeats but acknowledges nothing"
-                                             : "its heartbeats or statuses no longer arrive"));
+                            .reason(unreachable ? "it sends heartbeats but acknowledges nothing"
+                                                : "its heartbeats or statuses no longer arrive"));
   }
 }
 
--- a/src/core/workers/fleet_heartbeats.cpp
+++ b/src/core/workers/fleet_heartbeats.cpp
@@ -20,7 +20,7 @@
   else
     reply.commands = reply_to_untrusted_status(shard, *machine, heartbeat);
   commands_.log(shard, *machine, reply.commands, heartbeat.sequence_number);
-  state_.context.act(AnswerHeartbeat{request, std::move(reply)});
+  state_.context.emit(AnswerHeartbeat{request, std::move(reply)});
 }
 
 /// Returns the machine of a heartbeat that may be replied to; null if the heartbeat must be refused.
--- a/src/core/workers/heartbeat_router.cpp
+++ b/src/core/workers/heartbeat_router.cpp
@@ -15,12 +15,12 @@
 }
 
 void HeartbeatRouter::refuse(std::uint64_t request) {
-  state_.context.act(AnswerHeartbeat{request, {503, 0, {}, {}}});
+  state_.context.emit(AnswerHeartbeat{request, {503, 0, {}, {}}});
 }
 
 void HeartbeatRouter::redirect(std::uint64_t request, const std::string& leader) {
   ++state_.redirected_heartbeats[leader];
-  state_.context.act(AnswerHeartbeat{request, {421, 0, {}, leader}});
+  state_.context.emit(AnswerHeartbeat{request, {421, 0, {}, leader}});
 }
 
 void HeartbeatRouter::route(std::uint64_t request, const Heartbeat& heartbeat, Micros received_at) {
--- a/src/core/workers/task_tracker.cpp
+++ b/src/core/workers/task_tracker.cpp
@@ -162,7 +162,7 @@
   state_.context.info(LogMessage("machine quarantined")
                           .shard(shard.name)
                           .machine(machine.name)
-                          .why("tasks of several jobs failed on it"));
+                          .reason("tasks of several jobs failed on it"));
   for (auto& [id, job] : shard.jobs)
     if (job.failed_on.erase(machine.name) > 0) job.retry_at = Micros{0};
 }
--- a/src/core/workers/worker_calls.cpp
+++ b/src/core/workers/worker_calls.cpp
@@ -24,13 +24,13 @@
 void WorkerCalls::push(Push push, CommandRequest request) {
   const std::uint64_t call = next_call_++;
   pushes_.emplace(call, std::move(push));
-  state_.context.act(WorkerCall{call, std::move(request)});
+  state_.context.emit(WorkerCall{call, std::move(request)});
 }
 
 void WorkerCalls::probe(const std::string& address, ProbeCallback done) {
   const std::uint64_t call = next_call_++;
   probes_.emplace(call, std::move(done));
-  state_.context.act(WorkerCall{call, {address, 0, 0, {}}});
+  state_.context.emit(WorkerCall{call, {address, 0, 0, {}}});
 }
 
 std::optional<WorkerCalls::ProbeCallback> WorkerCalls::take_probe(std::uint64_t call) {
--- a/tests/recorded_bytes_test.cpp
+++ b/tests/recorded_bytes_test.cpp
@@ -207,7 +207,7 @@
   }
 
   /// The values of one field in an overview for administrators.
-  std::set<std::string> listed(AdminRequest::What what, const char* field) {
+  std::set<std::string> listed(AdminRequest::Kind what, const char* field) {
     controller_.on_admin(++requests_, {what, {}});
     perform_all();
     std::set<std::string> out;
@@ -259,7 +259,7 @@
 }
 
 TEST_F(TakeOver, LoadsEveryLiveJob) {
-  const std::set<std::string> jobs = listed(AdminRequest::What::jobs, "job");
+  const std::set<std::string> jobs = listed(AdminRequest::Kind::jobs, "job");
   for (const json& entry : recorded_rows("live/")) EXPECT_TRUE(jobs.contains(job_of(entry))) << job_of(entry);
 }
 
@@ -283,7 +283,7 @@
 }
 
 TEST_F(TakeOver, KnowsEveryClaimedMachine) {
-  const std::set<std::string> machines = listed(AdminRequest::What::machines, "machine");
+  const std::set<std::string> machines = listed(AdminRequest::Kind::machines, "machine");
   for (const json& entry : recorded_rows("claim/")) {
     if (!entry.at("value").is_array()) continue;
     for (const json& machine : entry.at("value"))
--- a/tests/sim/simulated_cluster.cpp
+++ b/tests/sim/simulated_cluster.cpp
@@ -65,9 +65,9 @@
 }
 
 void SimulatedCluster::send_admin_requests() {
-  using What = AdminRequest::What;
+  using Kind = AdminRequest::Kind;
   for (auto& host : controllers_.hosts())
-    for (const What what : {What::policy, What::shards, What::machines, What::jobs, What::negotiations})
+    for (const Kind what : {Kind::policy, Kind::shards, Kind::machines, Kind::jobs, Kind::negotiations})
       controllers_.deliver_admin_request(*host, {what, {}});
   environment_.simulation.after(kAdminRequestsEvery, [this] { send_admin_requests(); });
 }
--- a/tests/sim/simulated_key_value_store.cpp
+++ b/tests/sim/simulated_key_value_store.cpp
@@ -52,7 +52,7 @@
 Response SimulatedKeyValueStore::handle(const wire::HttpRequest& request, Micros now) {
   expire_leases(now);
   if (out_) return {503, "{}"};
-  if (!requests_.take(now)) {
+  if (!requests_.try_take(now)) {
     ++refused_;
     return {429, "{}"};
   }
@@ -113,7 +113,7 @@
     ++too_large_;
     return {400, "{}"};
   }
-  if (!writes_.take(now, static_cast<double>(writes.size()))) {
+  if (!writes_.try_take(now, static_cast<double>(writes.size()))) {
     ++refused_;
     return {429, "{}"};
   }
