--- a/src/app/core_driver.cpp
+++ b/src/app/core_driver.cpp
@@ -75,7 +75,7 @@
       core_(settings, make_incarnation(), random_number()),
       store_(loop, settings.store_address, kMaxIdleStoreConnections, kMaxStoreBodyBytes),
       cloud_(loop, settings.cloud_address, kMaxIdleCloudConnections, kMaxCloudBodyBytes) {
-  core_.write_debug_lines(log_->should_log(spdlog::level::debug));
+  core_.set_debug_enabled(log_->should_log(spdlog::level::debug));
   for (const Peer& peer : settings.peers)
     peers_.emplace(peer.host, std::make_unique<PeerLink>(loop, settings.host, peer.endpoint));
 }
@@ -92,7 +92,7 @@
   }
 }
 
-void CoreDriver::update_core_clocks() { core_.at(loop_.now(), wall_clock_now()); }
+void CoreDriver::update_core_clocks() { core_.set_clocks(loop_.now(), wall_clock_now()); }
 
 void CoreDriver::perform_actions() {
   for (Action& action : core_.take_actions(loop_.now()))
--- a/src/app/user_api.cpp
+++ b/src/app/user_api.cpp
@@ -68,7 +68,7 @@
     if (problem == nullptr)
       core.on_submit(number, std::get<JobSpec>(parsed));
     else
-      core.on_malformed(number, job, problem->text());
+      core.on_invalid_submission(number, job, problem->text());
   };
   co_return co_await driver_.submit(std::move(handler), kReplyTimeout);
 }
--- a/src/core/controller/controller.cpp
+++ b/src/core/controller/controller.cpp
@@ -46,7 +46,7 @@
           state_, fleet_, [this](Shard& shard) { loader_.load(shard); },
           [this](const std::string& shard) { fleet_.on_shard_lost(shard); }) {}
 
-void Controller::at(Micros steady, Micros wall) {
+void Controller::set_clocks(Micros steady, Micros wall) {
   context_.now = std::max(context_.now, steady);
   context_.wall = wall;
 }
--- a/src/core/controller/controller.h
+++ b/src/core/controller/controller.h
@@ -19,7 +19,7 @@
   Controller(Settings settings, std::string incarnation, std::uint64_t seed);
 
   /// Sets both clocks. Must be called before every event.
-  void at(Micros steady, Micros wall);
+  void set_clocks(Micros steady, Micros wall);
   /// Runs everything that is due. Must be called at least once in each scheduling interval of 100 ms.
   void tick();
 
@@ -28,8 +28,8 @@
 
   void on_submit(std::uint64_t request, const JobSpec& spec) { jobs_.on_submit(request, spec); }
   /// A submission of the job `id` that is invalid for the reason `why`.
-  void on_malformed(std::uint64_t request, const std::string& id, const std::string& why) {
-    jobs_.on_malformed(request, id, why);
+  void on_invalid_submission(std::uint64_t request, const std::string& id, const std::string& why) {
+    jobs_.on_invalid_submission(request, id, why);
   }
   void on_poll(std::uint64_t request, const std::string& id) { jobs_.on_poll(request, id); }
   void on_cancel(std::uint64_t request, const std::string& id) { jobs_.on_cancel(request, id); }
@@ -54,7 +54,7 @@
   void on_peer(const std::string& host, const PeerMessage& message);
 
   /// Sets whether debug lines are written. Their text is only built if they are.
-  void write_debug_lines(bool wanted) { context_.debug_enabled = wanted; }
+  void set_debug_enabled(bool wanted) { context_.debug_enabled = wanted; }
   const InvariantCounts& invariants() const { return context_.invariants; }
   /// Whether users' requests should be routed to this controller: its home shard is loaded and the catalogue
   /// is known.
--- a/src/core/jobs/jobs.cpp
+++ b/src/core/jobs/jobs.cpp
@@ -33,7 +33,7 @@
   submissions_.submit(spec, reply_to_user(request), RequestOrigin::user);
 }
 
-void Jobs::on_malformed(std::uint64_t request, const std::string& job, const std::string& why) {
+void Jobs::on_invalid_submission(std::uint64_t request, const std::string& job, const std::string& why) {
   if (const auto known = directory_.known_status(job))
     return reply_to_user(request)(replies::status(job, *known));
   submissions_.refuse(replies::refusal(job, 400, why), reply_to_user(request), RequestOrigin::user);
--- a/src/core/jobs/jobs.h
+++ b/src/core/jobs/jobs.h
@@ -35,7 +35,7 @@
 
   void on_submit(std::uint64_t request, const JobSpec& spec);
   /// Handles a submission of which only the job id is readable; `why` tells what is wrong with it.
-  void on_malformed(std::uint64_t request, const std::string& job, const std::string& why);
+  void on_invalid_submission(std::uint64_t request, const std::string& job, const std::string& why);
   void on_poll(std::uint64_t request, const std::string& job);
   void on_cancel(std::uint64_t request, const std::string& job);
 
--- a/tests/late_answer_test.cpp
+++ b/tests/late_answer_test.cpp
@@ -58,7 +58,7 @@
   Job& job = t.add_job();
   job.owner = "b";
   t.shard.award_freshness.confirm(t.context.now, seconds(10));
-  t.collect([&] { t.jobs.on_malformed(1, kTask.job, "a repeat"); });
+  t.collect([&] { t.jobs.on_invalid_submission(1, kTask.job, "a repeat"); });
   StoreResponse absent;
   absent.outcome = Outcome::absent;
   t.answer(0, absent);
--- a/tests/recorded_bytes_test.cpp
+++ b/tests/recorded_bytes_test.cpp
@@ -172,7 +172,7 @@
 
   void step() {
     now_ += millis(20);
-    controller_.at(now_, now_ + seconds(1'000'000));
+    controller_.set_clocks(now_, now_ + seconds(1'000'000));
     controller_.tick();
     perform_all();
   }
--- a/tests/sim/simulated_controllers.cpp
+++ b/tests/sim/simulated_controllers.cpp
@@ -50,7 +50,7 @@
   host.incarnation = ++started_;
   host.core = std::make_unique<Controller>(environment_.defects.controller_settings(settings),
                                            "life-" + std::to_string(host.incarnation), host.incarnation);
-  host.core->write_debug_lines(environment_.scenario.verbose);
+  host.core->set_debug_enabled(environment_.scenario.verbose);
   tick(host, host.incarnation);
 }
 
@@ -80,7 +80,7 @@
   if (simulation.now() < host.paused_until)
     return simulation.at(host.paused_until,
                          [this, &host, incarnation, event] { deliver(host, incarnation, event); });
-  host.core->at(steady_time(host), simulation.now() + kWallClockOffset);
+  host.core->set_clocks(steady_time(host), simulation.now() + kWallClockOffset);
   event(*host.core);
   if (host.pauses_for == Micros{0}) return perform_actions(host, incarnation);
   host.paused_until = simulation.now() + std::exchange(host.pauses_for, Micros{0});
--- a/tests/sim/simulated_users.cpp
+++ b/tests/sim/simulated_users.cpp
@@ -201,13 +201,15 @@
   User& user = *environment_.simulation.pick_from(users_);
   if (!user.accepted) return;
   const Micros asked_at = environment_.simulation.now();
-  send([id = user.job.id](Controller& core,
-                          std::uint64_t request) { core.on_malformed(request, id, "crew: missing"); },
-       [this, &user, asked_at](const UserReply* reply) {
-         if (reply != nullptr)
-           environment_.checker.answered(user.job.id, reply->status, reply->phase, asked_at,
-                                         environment_.simulation.now());
-       });
+  send(
+      [id = user.job.id](Controller& core, std::uint64_t request) {
+        core.on_invalid_submission(request, id, "crew: missing");
+      },
+      [this, &user, asked_at](const UserReply* reply) {
+        if (reply != nullptr)
+          environment_.checker.answered(user.job.id, reply->status, reply->phase, asked_at,
+                                        environment_.simulation.now());
+      });
 }
 
 void SimulatedUsers::submit_invalid() {
--- a/tests/size_test.cpp
+++ b/tests/size_test.cpp
@@ -115,7 +115,7 @@
   /// The HTTP status of a response to a poll that arrives just before the process hangs for a while.
   int poll_status_after(Micros hang, int number) {
     const std::string id = "run-" + std::to_string(100000 + number);
-    core_->at(now_, now_ + seconds(1'000'000));
+    core_->set_clocks(now_, now_ + seconds(1'000'000));
     core_->on_poll(++request_, id);
     int status = 0;
     for (const Action& action : core_->take_actions(now_ + hang))
@@ -156,7 +156,7 @@
   }
   template <class F>
   void event(F&& f) {
-    core_->at(now_, now_ + seconds(1'000'000));
+    core_->set_clocks(now_, now_ + seconds(1'000'000));
     f();
     for (auto actions = core_->take_actions(now_); !actions.empty(); actions = core_->take_actions(now_))
       for (Action& action : actions) perform(action);
