--- a/lab/worker_fleet.cpp
+++ b/lab/worker_fleet.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr Micros kPollInterval = millis(20);
-constexpr Micros kHeartbeatTimeout = Settings::kWorkerPatience;
+constexpr Micros kHeartbeatTimeout = Settings::kHeartbeatTimeout;
 constexpr Micros kUnreachableDelay = seconds(3);  ///< longer than any controller waits for a response
 constexpr int kAddressesPerBlock = 250;
 constexpr int kMachinesAtStart = 6;
@@ -62,7 +62,7 @@
   };
   hooks.run_time = [this](const TaskId& task) {
     const JobSpec& spec = lab_.job_specs.at(task.job);
-    return spec.shape == Shape::service ? seconds(100'000) : spec.estimate;
+    return spec.shape == Shape::service ? seconds(100'000) : spec.estimated_task_duration;
   };
   found->second.worker = std::make_unique<sim::SimulatedWorker>(
       found->second, *cloud_.type(found->second.type), lab_.settings, std::move(hooks), lab_.now());
--- a/src/core/controller/controller.cpp
+++ b/src/core/controller/controller.cpp
@@ -46,20 +46,20 @@
           state_, fleet_, [this](Shard& shard) { loader_.load(shard); },
           [this](const std::string& shard) { fleet_.on_shard_lost(shard); }) {}
 
-void Controller::at(Micros steady, Micros wall) {
+void Controller::set_clocks(Micros steady, Micros wall) {
   context_.now = std::max(context_.now, steady);
   context_.wall = wall;
 }
 
 void Controller::schedule(Shard& shard) {
-  scheduler_.pass(shard);
+  scheduler_.run_pass(shard);
   fleet_.push_commands(shard);
 }
 
 void Controller::place_on(Shard& shard, Machine& machine) {
   // Tasks of stale awards must be stopped before new tasks are placed on the machine.
   contract_net_.stop_stale_awards(shard, machine);
-  scheduler_.fill(shard, machine);
+  scheduler_.fill_machine(shard, machine);
 }
 
 void Controller::on_shard_ready(Shard& shard) {
@@ -84,7 +84,7 @@
 }
 
 bool Controller::healthy() {
-  return state_.ready_shard(state_.self()) != nullptr && !state_.catalogue.empty();
+  return state_.ready_shard(state_.own_host()) != nullptr && !state_.catalogue.empty();
 }
 
 std::vector<Action> Controller::take_actions(Micros steady) {
@@ -99,8 +99,8 @@
       if (paused) std::visit(OutdatedActionFilter{}, action);
       // A controller that leads the home shard of a peer may send messages to itself.
       const auto* to_peer = std::get_if<PeerSend>(&action);
-      if (to_peer != nullptr && to_peer->host == state_.self())
-        on_peer(state_.self(), to_peer->message);
+      if (to_peer != nullptr && to_peer->host == state_.own_host())
+        on_peer(state_.own_host(), to_peer->message);
       else
         out.push_back(std::move(action));
     }
@@ -120,7 +120,7 @@
     void operator()(const JobEndNotice& m) { controller.contract_net_.on_job_end_notice(m); }
     void operator()(const ProgressNotice& m) { controller.contract_net_.on_progress_notice(m.shard); }
     void operator()(const FailbackRequest& m) {
-      if (m.shard == host) controller.shard_leases_.fail_back(m.shard);
+      if (m.shard == host) controller.shard_leases_.transfer_to_home_host(m.shard);
     }
     void operator()(const QuotaTransferRequest& m) { controller.contract_net_.on_quota_transfer_request(m); }
     void operator()(const CapacityExhausted& m) { controller.autoscaler_.on_capacity_exhausted(m); }
@@ -133,20 +133,20 @@
 // ---- operators -----------------------------------------------------------------------------------
 
 void Controller::on_admin(std::uint64_t request, const AdminRequest& admin_request) {
-  using What = AdminRequest::What;
-  const auto answer = [&](Value body) { context_.act(AnswerAdmin{request, 200, std::move(body)}); };
-  switch (admin_request.what) {
-    case What::policy:
+  using Kind = AdminRequest::Kind;
+  const auto answer = [&](Value body) { context_.emit(AnswerAdmin{request, 200, std::move(body)}); };
+  switch (admin_request.kind) {
+    case Kind::policy:
       return answer(Policy::to_json(context_.policy));
-    case What::shards:
+    case Kind::shards:
       return answer(overview::shards(state_));
-    case What::machines:
+    case Kind::machines:
       return answer(overview::machines(state_));
-    case What::jobs:
+    case Kind::jobs:
       return answer(overview::jobs(state_));
-    case What::negotiations:
+    case Kind::negotiations:
       return answer(overview::negotiations(contract_net_));
-    case What::change_policy:
+    case Kind::change_policy:
       return policy_.change(request, admin_request.body);
   }
 }
--- a/src/core/controller/shard_loader.cpp
+++ b/src/core/controller/shard_loader.cpp
@@ -21,7 +21,7 @@
 void ShardLoader::load(const Shard& shard) { read_records({shard.name, shard.leadership_term}); }
 
 void ShardLoader::retry(const Load& load, Step step) {
-  state_.context.later(kRetryDelay, [this, load, step] {
+  state_.context.run_after(kRetryDelay, [this, load, step] {
     if (shard_of(load) != nullptr) (this->*step)(load);
   });
 }
@@ -64,13 +64,13 @@
 
 void ShardLoader::load_jobs(Shard& shard, const RecordReads& reads) {
   for (const KeyValue& entry : reads.live_jobs) {
-    const auto record = records::live_job(entry.value);
+    const auto record = records::read_live_job(entry.value);
     if (!record) continue;
-    jobs_.learn_shard(*record);
+    jobs_.remember_shard(*record);
     if (record->shard != shard.name) continue;
     if (!state_.may_act_on(shard, record->spec.id, reads.requested_at)) continue;
     // An earlier leader may have started any task of the job on any machine.
-    Jobs::load(shard, *record).unreconciled = true;
+    Jobs::load(shard, *record).may_be_on_unreconciled_machines = true;
   }
   shard.has_unreconciled_jobs = true;
 }
@@ -86,7 +86,7 @@
   Shard* shard = shard_of(load);
   if (shard == nullptr) return;
   if (response.outcome == StoreResponse::Outcome::absent) return create_quota_allocation(load, *shard);
-  const auto allocation = records::read_first(response, records::quota_allocation);
+  const auto allocation = records::read_first(response, records::read_quota_allocation);
   if (!allocation) return retry(load, &ShardLoader::read_quota_allocation);
   shard->quota.load(allocation->quota_shares, response.entries.front().revision);
   become_ready(*shard);
--- a/src/core/jobs/ended_jobs.cpp
+++ b/src/core/jobs/ended_jobs.cpp
@@ -7,7 +7,8 @@
 void stop_attempt(ControllerState& state, Shard& shard, const AttemptId& attempt, Machine& machine) {
   const auto placed = machine.tasks.find(attempt);
   if (placed == machine.tasks.end() || !placed->second.wanted) return;
-  shard.change(machine, attempt, placed->second, [](Placement& placement) { placement.wanted = false; });
+  shard.change_placement(machine, attempt, placed->second,
+                         [](Placement& placement) { placement.wanted = false; });
   state.context.debug([&] {
     return LogMessage("attempt no longer wanted")
         .shard(shard.name)
@@ -15,13 +16,13 @@
         .task(attempt.task.index)
         .attempt(attempt.attempt)
         .machine(machine.name)
-        .why("the job has ended");
+        .reason("the job has ended");
   });
   shard.request_push(machine);
 }
 
 void stop_attempts(ControllerState& state, Shard& shard, const Job& job) {
-  for (std::uint32_t index = 0; job.present > 0 && index < job.tasks.size(); ++index) {
+  for (std::uint32_t index = 0; job.placement_count > 0 && index < job.tasks.size(); ++index) {
     const Task& task = job.tasks[index];
     if (task.state != Task::State::placed) continue;
     stop_attempt(state, shard, {{job.spec.id, index}, task.attempt}, *task.machine);
@@ -38,7 +39,7 @@
     if (found == shard.jobs.end()) continue;
     Job& job = found->second;
     stop_attempts(state, shard, job);
-    if (job.present > 0 || job.finalizing || job.tasks_in_award > 0) {
+    if (job.placement_count > 0 || job.finalizing || job.tasks_in_award > 0) {
       shard.ended_jobs.push_back(std::move(id));
       continue;
     }
--- a/src/core/jobs/job_directory.cpp
+++ b/src/core/jobs/job_directory.cpp
@@ -37,10 +37,11 @@
   if (!final_state || reply.status == 503) return reply;
   const bool shows_phase = reply.status == 200 || reply.status == 201;
   if (shows_phase && is_final(reply.phase) && reply.phase != final_state->phase) {
-    state_.context.violated(Invariant::answers_agree, LogMessage("reply differs from the final state")
-                                                          .job(reply.id)
-                                                          .detail("final_state", to_text(final_state->phase))
-                                                          .detail("reply", to_text(reply.phase)));
+    state_.context.report_violation(Invariant::answers_agree,
+                                    LogMessage("reply differs from the final state")
+                                        .job(reply.id)
+                                        .detail("final_state", to_text(final_state->phase))
+                                        .detail("reply", to_text(reply.phase)));
     return replies::unavailable(reply.id);
   }
   if (shows_phase && reply.phase == final_state->phase) return reply;
@@ -55,18 +56,18 @@
 
 std::string JobDirectory::leader_of(const std::string& job) const {
   const auto shard = shard_of_.find(job);
-  return shard == shard_of_.end() ? state_.self() : state_.leader_of(shard->second);
+  return shard == shard_of_.end() ? state_.own_host() : state_.leader_of(shard->second);
 }
 
 void JobDirectory::record_final_state(const std::string& job, const FinalState& final_state) {
   shard_of_.erase(job);
   if (state_.record_job_end(job, final_state)) return;
   const FinalState remembered = *state_.final_states.final_state(job);
-  state_.context.violated(Invariant::final_state_stays,
-                          LogMessage("final state differs from the one remembered")
-                              .job(job)
-                              .detail("remembered", to_text(remembered.phase))
-                              .detail("found", to_text(final_state.phase)));
+  state_.context.report_violation(Invariant::final_state_stays,
+                                  LogMessage("final state differs from the one remembered")
+                                      .job(job)
+                                      .detail("remembered", to_text(remembered.phase))
+                                      .detail("found", to_text(final_state.phase)));
 }
 
 Job& JobDirectory::load(Shard& shard, const records::LiveJob& record) {
@@ -74,12 +75,12 @@
   Job& job = found->second;
   if (!is_new) return job;
   job.spec = record.spec;
-  job.accepted = record.accepted;
+  job.accepted_at = record.accepted_at;
   job.recorded.assign(record.spec.tasks, false);
   job.tasks.resize(record.spec.tasks);
   job.waiting.reserve(record.spec.tasks);
   for (std::uint32_t i = record.spec.tasks; i > 0; --i) job.waiting.push_back(i - 1);
-  shard.changed();
+  shard.request_scheduling_pass();
   return job;
 }
 
--- a/src/core/jobs/job_polls.cpp
+++ b/src/core/jobs/job_polls.cpp
@@ -11,8 +11,8 @@
 /// How long the leader of a job has to reply before the job's records are used instead.
 constexpr Micros kLeaderTimeout = millis(400);
 
-JobQuery make_poll_query(const std::string& job, bool fresh) {
-  return {0, JobQuery::Kind::poll, job, fresh, {}};
+JobQuery make_poll_query(const std::string& job, bool may_read_store) {
+  return {0, JobQuery::Kind::poll, job, may_read_store, {}};
 }
 
 }  // namespace
@@ -33,7 +33,7 @@
     start_next(poll);
   };
   const std::string leader = directory_.leader_of(job);
-  if (poll.origin == RequestOrigin::peer || leader == state_.self() || !state_.reachable(leader))
+  if (poll.origin == RequestOrigin::peer || leader == state_.own_host() || !state_.reachable(leader))
     return read(job, respond_to_all, poll.origin);
   queries_.send({leader}, make_poll_query(job, false), kLeaderTimeout,
                 [this, job, respond_to_all](const UserReply& reply) {
@@ -70,7 +70,7 @@
     });
     return;
   }
-  const auto record = records::read_first(response, records::live_job);
+  const auto record = records::read_first(response, records::read_live_job);
   if (!record) {
     log_unreadable(state_.context, records::live_key(read.job), record.error());
     return on_record_unavailable(read);
@@ -88,7 +88,7 @@
 void JobPolls::reply_with_unfinished(const JobRead& read, const records::LiveJob& record) {
   const UserReply pending = replies::status(read.job, {});
   const std::string leader = state_.leader_of(record.shard);
-  if (leader == state_.self() || read.origin == RequestOrigin::peer || !state_.reachable(leader))
+  if (leader == state_.own_host() || read.origin == RequestOrigin::peer || !state_.reachable(leader))
     return read.respond(pending);
   queries_.send(
       {leader}, make_poll_query(read.job, false), kLeaderTimeout,
@@ -97,7 +97,7 @@
 
 void JobPolls::on_final_record(const JobRead& read, const StoreResponse& response) {
   if (response.outcome == Outcome::absent) return read.respond(replies::no_such_job(read.job));
-  const auto record = records::read_first(response, records::final_job);
+  const auto record = records::read_first(response, records::read_final_job);
   if (!record) {
     log_unreadable(state_.context, records::final_job_key(read.job), record.error());
     return on_record_unavailable(read);
--- a/src/core/jobs/jobs.cpp
+++ b/src/core/jobs/jobs.cpp
@@ -33,7 +33,7 @@
   submissions_.submit(spec, reply_to_user(request), RequestOrigin::user);
 }
 
-void Jobs::on_malformed(std::uint64_t request, const std::string& job, const std::string& why) {
+void Jobs::on_invalid_submission(std::uint64_t request, const std::string& job, const std::string& why) {
   if (const auto known = directory_.known_status(job))
     return reply_to_user(request)(replies::status(job, *known));
   submissions_.refuse(replies::refusal(job, 400, why), reply_to_user(request), RequestOrigin::user);
@@ -51,7 +51,7 @@
   const ReplyCallback respond = reply_to_peer(from_host, query.id);
   switch (query.kind) {
     case JobQuery::Kind::poll:
-      if (query.fresh) return polls_.poll(query.job, respond, RequestOrigin::peer);
+      if (query.may_read_store) return polls_.poll(query.job, respond, RequestOrigin::peer);
       if (const auto known = directory_.known_status(query.job))
         return respond(replies::status(query.job, *known));
       return respond(replies::unavailable(query.job));
@@ -76,15 +76,15 @@
           .detail("done", current.done)
           .detail("running", current.running);
     });
-    state_.context.act(AnswerUser{request, current});
+    state_.context.emit(AnswerUser{request, current});
   };
 }
 
 ReplyCallback Jobs::reply_to_peer(const std::string& host, std::uint64_t query) {
   return [this, host, query](const UserReply& reply) {
     const UserReply current = directory_.replace_if_outdated(reply);
-    state_.context.act(PeerSend{host, JobReply{query, static_cast<std::uint32_t>(current.status),
-                                               current.phase, current.done, current.running}});
+    state_.context.emit(PeerSend{host, JobReply{query, static_cast<std::uint32_t>(current.status),
+                                                current.phase, current.done, current.running}});
   };
 }
 
--- a/src/core/jobs/jobs.h
+++ b/src/core/jobs/jobs.h
@@ -35,7 +35,7 @@
 
   void on_submit(std::uint64_t request, const JobSpec& spec);
   /// Handles a submission of which only the job id is readable; `why` tells what is wrong with it.
-  void on_malformed(std::uint64_t request, const std::string& job, const std::string& why);
+  void on_invalid_submission(std::uint64_t request, const std::string& job, const std::string& why);
   void on_poll(std::uint64_t request, const std::string& job);
   void on_cancel(std::uint64_t request, const std::string& job);
 
@@ -47,7 +47,7 @@
   /// Adds a job to a shard that is being loaded.
   static Job& load(Shard& shard, const records::LiveJob& record) { return JobDirectory::load(shard, record); }
   /// Remembers the shard of an unfinished job from the job's record, which was just read.
-  void learn_shard(const records::LiveJob& record) { directory_.remember_shard(record); }
+  void remember_shard(const records::LiveJob& record) { directory_.remember_shard(record); }
 
  private:
   ReplyCallback reply_to_user(std::uint64_t request);
--- a/src/core/jobs/submissions.cpp
+++ b/src/core/jobs/submissions.cpp
@@ -17,20 +17,21 @@
 }  // namespace
 
 bool Submissions::can_accept() const {
-  return state_.ready_shard(state_.self()) != nullptr && !state_.catalogue.empty() && !state_.store.failing();
+  return state_.ready_shard(state_.own_host()) != nullptr && !state_.catalogue.empty() &&
+         !state_.store.failing();
 }
 
 std::optional<std::string> Submissions::reason_to_reject(const JobSpec& spec) const {
   const Team* team = state_.context.settings.team(spec.team);
   if (team == nullptr) return "unknown team";
   const auto fits = [&](const MachineType& type) {
-    return spec.allows_type(type.name) && spec.each.fits_in(type.size) &&
+    return spec.allows_type(type.name) && spec.task_resources.fits_in(type.size) &&
            (!spec.zone || std::find(type.zones.begin(), type.zones.end(), *spec.zone) != type.zones.end());
   };
   if (std::none_of(state_.catalogue.begin(), state_.catalogue.end(), fits))
     return "a task fits no allowed machine type";
   const std::int64_t at_once = spec.shape == Shape::service ? spec.tasks : 1;
-  if (!(quota_of(spec.each) * at_once).fits_in(team->limit)) return "more than the team's limit";
+  if (!(quota_of(spec.task_resources) * at_once).fits_in(team->limit)) return "more than the team's limit";
   return std::nullopt;
 }
 
@@ -62,7 +63,7 @@
     return;
   }
   if (queued_.size() >= max_queued()) return respond(replies::unavailable(job, kRetryAfterSecondsWhenFull));
-  queued_.push_back({{state_.self(), spec, state_.context.wall}, {std::move(respond)}});
+  queued_.push_back({{state_.own_host(), spec, state_.context.wall}, {std::move(respond)}});
   write_queued();
 }
 
@@ -77,7 +78,7 @@
 }
 
 void Submissions::write_queued() {
-  const Shard* shard = state_.ready_shard(state_.self());
+  const Shard* shard = state_.ready_shard(state_.own_host());
   if (shard == nullptr) return;
   while (!queued_.empty() && writes_in_flight_ < kMaxWritesInFlight) {
     Batch batch = take_batch(*shard);
@@ -163,12 +164,12 @@
   // Without a response, the jobs may have been accepted or may still be.
   if (response.outcome == Outcome::unknown && shard != nullptr) reader_.read_soon(*shard);
   const bool only_jobs_conflicted =
-      conflict && !response.failed.empty() && !response.failed_at(records::lease_key(batch.shard));
+      conflict && !response.failed.empty() && !response.condition_failed_on(records::lease_key(batch.shard));
   for (Submission& submission : batch.submissions) {
     const std::string& job = submission.record.spec.id;
     const bool may_be_accepted = batch.submissions.size() == 1 ||
-                                 response.failed_at(records::live_key(job)) ||
-                                 response.failed_at(records::final_job_key(job));
+                                 response.condition_failed_on(records::live_key(job)) ||
+                                 response.condition_failed_on(records::final_job_key(job));
     if (conflict && may_be_accepted) {
       reply_from_records(submission);
     } else if (only_jobs_conflicted) {
@@ -192,7 +193,7 @@
 }
 
 void Submissions::fail_unwritable() {
-  const bool can_write = state_.ready_shard(state_.self()) != nullptr && !state_.store.failing();
+  const bool can_write = state_.ready_shard(state_.own_host()) != nullptr && !state_.store.failing();
   while (!queued_.empty() && !can_write) {
     const Submission& submission = queued_.front();
     for (const ReplyCallback& respond : submission.callbacks)
--- a/src/core/leases/lease_transfer.cpp
+++ b/src/core/leases/lease_transfer.cpp
@@ -49,8 +49,8 @@
     for (const auto& [name, machine] : shard.machines)
       if (!machine.address.empty() && transferred.workers.size() < kMaxProbedWorkersPerShard)
         transferred.workers.push_back(machine.address);
-  const bool asked_for = reason == TransferReason::failback;
-  return {shard.name, shard.fencing_token, asked_for, fleet_.unreachable_machines(shard)};
+  const bool is_failback = reason == TransferReason::failback;
+  return {shard.name, shard.fencing_token, is_failback, fleet_.unreachable_machines(shard)};
 }
 
 bool LeaseTransfers::is_held_off(const std::string& shard) {
@@ -58,7 +58,7 @@
   if (found == transferred_.end()) return false;
   const Transferred& transferred = found->second;
   const ShardRoute& route = state_.routes[shard];
-  const bool led_by_peer = route.revision != 0 && route.host != state_.self();
+  const bool led_by_peer = route.revision != 0 && route.host != state_.own_host();
   // The recorded workers may never answer a probe because they are unreachable or deleted. After `last_probe`
   // the peer has had two worker leases to handle them, so this controller stops waiting for their answers.
   const Micros last_probe = transferred.hold_off_until + state_.context.settings.worker_lease * 2;
@@ -69,7 +69,7 @@
 }
 
 void LeaseTransfers::on_received(const LeaseTransfer& transfer) {
-  if (!transfer.asked_for) received_[transfer.shard] = state_.now();
+  if (!transfer.is_failback) received_[transfer.shard] = state_.now();
   handovers_[transfer.shard] = transfer;
 }
 
--- a/src/core/leases/peer_health.cpp
+++ b/src/core/leases/peer_health.cpp
@@ -17,15 +17,15 @@
   next_message_ = state_.now() + kHealthMessageInterval;
   for (const Peer& peer : state_.context.settings.peers) {
     const std::uint32_t redirected = std::exchange(state_.redirected_heartbeats[peer.host], 0);
-    state_.context.act(PeerSend{peer.host, PeerHealth{state_.store.responsive(), redirected}});
+    state_.context.emit(PeerSend{peer.host, PeerHealth{state_.store.responsive(), redirected}});
   }
 }
 
 void PeerHealthMonitor::on_peer_health(const std::string& host, const PeerHealth& health) {
   PeerState& peer = state_.peers[host];
-  peer.heard_at = state_.now();
+  peer.last_health_at = state_.now();
   peer.store_responsive = health.store_responsive;
-  if (health.your_heartbeats > 0) peer.our_workers_at = state_.now();
+  if (health.redirected_heartbeats > 0) peer.redirected_heartbeats_reported_at = state_.now();
 }
 
 bool PeerHealthMonitor::all_workers_silent(const Shard& shard) const {
@@ -37,7 +37,8 @@
   if (transfers_.received_within(shard.name, state_.context.settings.worker_lease * 2)) return false;
   std::size_t expected_workers = 0;
   for (const auto& [name, machine] : shard.machines) {
-    if (machine.lifecycle.decommissioned || (!machine.liveness.status_received && fleet_.booting(machine)))
+    if (machine.lifecycle.decommissioned ||
+        (!machine.liveness.status_received && fleet_.may_be_booting(machine)))
       continue;
     // Also covers a machine that sends heartbeats but receives no commands: a transfer would not help it.
     if (machine.liveness.last_heartbeat_at > since) return false;
@@ -53,7 +54,8 @@
     if (!state_.reachable(host) || !peer.store_responsive) continue;
     if (store_failing) return TransferTarget{host, TransferReason::store_unresponsive};
     const bool receives_redirected_heartbeats =
-        peer.our_workers_at >= Micros{0} && state_.now() - peer.our_workers_at < ControllerState::kPeerSilent;
+        peer.redirected_heartbeats_reported_at >= Micros{0} &&
+        state_.now() - peer.redirected_heartbeats_reported_at < ControllerState::kPeerTimeout;
     if (receives_redirected_heartbeats) return TransferTarget{host, TransferReason::workers_unreachable};
   }
   return std::nullopt;
--- a/src/core/leases/shard_leases.cpp
+++ b/src/core/leases/shard_leases.cpp
@@ -14,7 +14,7 @@
 /// Returns the lease record in an entry; none if there is no entry or it cannot be parsed.
 std::optional<records::LeaseRecord> lease_record_in(const KeyValue* entry) {
   if (entry == nullptr) return std::nullopt;
-  return records::lease_record(entry->value);
+  return records::read_lease_record(entry->value);
 }
 
 }  // namespace
@@ -32,7 +32,7 @@
       token_advance_(state, store_lease_, [this] { schedule_listing_after_failure(); }),
       transfers_(state, fleet),
       peer_health_(state, fleet, transfers_) {
-  state_.routes[state_.self()];
+  state_.routes[state_.own_host()];
   for (const Peer& peer : state_.context.settings.peers) state_.routes[peer.host];
 }
 
@@ -124,13 +124,14 @@
   if (acquisition_.in_flight(shard) || state_.shards.contains(shard) || transfers_.is_held_off(shard)) return;
   const ShardRoute& route = state_.routes[shard];
   if (route.revision == 0) {
-    if (shard != state_.self() && state_.now() - route.absent_since < acquisition_delay(shard, route)) return;
+    if (shard != state_.own_host() && state_.now() - route.absent_since < acquisition_delay(shard, route))
+      return;
     acquisition_.start(shard, 0);
-  } else if (route.host == state_.self()) {
+  } else if (route.host == state_.own_host()) {
     // An earlier process on this host led the shard. It has ended, as each host runs one process at a time.
     acquisition_.start(shard, route.revision);
-  } else if (shard == state_.self()) {
-    state_.context.act(PeerSend{route.host, FailbackRequest{shard}});
+  } else if (shard == state_.own_host()) {
+    state_.context.emit(PeerSend{route.host, FailbackRequest{shard}});
     next_listing_ = std::min(next_listing_, state_.now() + kUrgentListingInterval);
   }
 }
@@ -141,7 +142,7 @@
     return std::distance(state_.routes.begin(), state_.routes.find(host));
   };
   const auto hosts = static_cast<std::ptrdiff_t>(state_.routes.size());
-  const auto turn = (position_of(state_.self()) + hosts - position_of(shard)) % hosts;
+  const auto turn = (position_of(state_.own_host()) + hosts - position_of(shard)) % hosts;
   Micros delay = kAcquisitionStagger * turn;
   if (!route.ever_held) delay += state_.context.settings.lease_term();
   return delay;
@@ -149,8 +150,8 @@
 
 void ShardLeases::begin_term(const std::string& name, FencingToken token, FencingToken replaced) {
   if (!state_.lease_valid()) return;
-  state_.routes[name] = {state_.self(), state_.context.incarnation, lease_record_revision(token), Micros{0},
-                         true};
+  state_.routes[name] = {state_.own_host(), state_.context.incarnation, lease_record_revision(token),
+                         Micros{0}, true};
   Shard& shard = state_.shards[name];
   shard = Shard{};
   shard.name = name;
@@ -158,16 +159,16 @@
   shard.first_fencing_token = token;
   shard.leadership_term = ++leadership_terms_;
   shard.acquired_at = state_.now();
-  shard.handover = transfers_.take_handover(name, replaced);
+  shard.unreachable_at_handover = transfers_.take_handover(name, replaced);
   state_.context.info(LogMessage("shard acquired").shard(name).token(token));
   on_acquired_(shard);
 }
 
 // ---- transfer and loss ---------------------------------------------------------------------------
 
-void ShardLeases::fail_back(const std::string& name) {
+void ShardLeases::transfer_to_home_host(const std::string& name) {
   Shard* shard = state_.held_shard(name);
-  if (shard == nullptr || name == state_.self() || shard->token_advance.in_flight()) return;
+  if (shard == nullptr || name == state_.own_host() || shard->token_advance.in_flight()) return;
   // If the message is lost, the next list shows a record of this process. This process then acquires the
   // shard again and leads it until the home host repeats its request.
   transfer(*shard, name, TransferReason::failback);
@@ -178,7 +179,7 @@
   state_.routes[message.shard].host = host;  // redirects workers to the peer; the next list corrects it
   // The peer may acquire the shard only after this controller has stopped acting for it.
   lose_shard(message.shard, to_text(reason));
-  state_.context.act(PeerSend{host, message});
+  state_.context.emit(PeerSend{host, message});
 }
 
 void ShardLeases::on_lease_transfer(const LeaseTransfer& transfer) {
@@ -198,7 +199,7 @@
 }
 
 void ShardLeases::lose_shard(const std::string& name, std::string_view why) {
-  state_.context.info(LogMessage("shard lost").shard(name).why(why));
+  state_.context.info(LogMessage("shard lost").shard(name).reason(why));
   state_.shards.erase(name);
   on_lost_(name);
 }
--- a/src/core/model/records.cpp
+++ b/src/core/model/records.cpp
@@ -60,17 +60,17 @@
                {"shape", static_cast<int>(spec.shape)},
                {"priority", static_cast<int>(spec.priority)},
                {"tasks", spec.tasks},
-               {"each", resources_to_json(spec.each)},
+               {"each", resources_to_json(spec.task_resources)},
                {"spot", spec.spot},
                {"image", spec.image},
                {"image_gb", spec.image_gb},
-               {"estimate", spec.estimate.count()}};
+               {"estimate", spec.estimated_task_duration.count()}};
   if (!spec.types.empty()) out["types"] = spec.types;
   if (spec.zone) out["zone"] = *spec.zone;
   if (spec.one_zone) out["one_zone"] = true;
   if (spec.spread) out["spread"] = true;
-  if (spec.checkpoint.count() > 0) out["checkpoint"] = spec.checkpoint.count();
-  if (spec.save.count() > 0) out["save"] = spec.save.count();
+  if (spec.checkpoint_interval.count() > 0) out["checkpoint"] = spec.checkpoint_interval.count();
+  if (spec.save_duration.count() > 0) out["save"] = spec.save_duration.count();
   if (spec.deadline) out["deadline"] = spec.deadline->count();
   return out;
 }
@@ -83,17 +83,17 @@
   spec.shape = read_enumerator_field(value, "shape", Shape::service);
   spec.priority = read_enumerator_field(value, "priority", Priority::production);
   spec.tasks = field<std::uint32_t>(value, "tasks");
-  spec.each = read_field(value, "each", read_resources);
+  spec.task_resources = read_field(value, "each", read_resources);
   spec.spot = field<bool>(value, "spot");
   spec.image = field<std::string>(value, "image");
   spec.image_gb = field<double>(value, "image_gb");
-  spec.estimate = read_field(value, "estimate", read_micros);
+  spec.estimated_task_duration = read_field(value, "estimate", read_micros);
   spec.types = field_or(value, "types", std::vector<std::string>{});
   if (value.contains("zone")) spec.zone = field<std::string>(value, "zone");
   spec.one_zone = field_or(value, "one_zone", false);
   spec.spread = field_or(value, "spread", false);
-  spec.checkpoint = Micros{field_or(value, "checkpoint", std::int64_t{0})};
-  spec.save = Micros{field_or(value, "save", std::int64_t{0})};
+  spec.checkpoint_interval = Micros{field_or(value, "checkpoint", std::int64_t{0})};
+  spec.save_duration = Micros{field_or(value, "save", std::int64_t{0})};
   if (value.contains("deadline")) spec.deadline = read_field(value, "deadline", read_micros);
   return spec;
 }
@@ -160,7 +160,7 @@
 }
 
 Value to_json(const LeaseRecord& lease) { return {{"host", lease.host}, {"incarnation", lease.incarnation}}; }
-ReadResult<LeaseRecord> lease_record(const Value& value) {
+ReadResult<LeaseRecord> read_lease_record(const Value& value) {
   return read_record<LeaseRecord>(value, [](const Value& in) {
     return LeaseRecord{field<std::string>(in, "host"), field<std::string>(in, "incarnation")};
   });
@@ -171,13 +171,13 @@
   for (const auto& [team, share] : allocation.quota_shares) shares[team] = quota_to_json(share);
   return {{"shares", shares}};
 }
-ReadResult<QuotaAllocation> quota_allocation(const Value& value) {
+ReadResult<QuotaAllocation> read_quota_allocation(const Value& value) {
   return read_record<QuotaAllocation>(
       value, [](const Value& in) { return QuotaAllocation{read_field(in, "shares", read_quota_shares)}; });
 }
 
 Value to_json(const FinalJob& job) { return {{"phase", static_cast<int>(job.phase)}, {"tasks", job.tasks}}; }
-ReadResult<FinalJob> final_job(const Value& value) {
+ReadResult<FinalJob> read_final_job(const Value& value) {
   return read_record<FinalJob>(value, [](const Value& in) {
     return FinalJob{read_enumerator_field(in, "phase", JobPhase::cancelled),
                     field<std::uint32_t>(in, "tasks")};
@@ -185,9 +185,9 @@
 }
 
 Value to_json(const LiveJob& job) {
-  return {{"part", job.shard}, {"spec", spec_to_json(job.spec)}, {"accepted", job.accepted.count()}};
+  return {{"part", job.shard}, {"spec", spec_to_json(job.spec)}, {"accepted", job.accepted_at.count()}};
 }
-ReadResult<LiveJob> live_job(const Value& value) {
+ReadResult<LiveJob> read_live_job(const Value& value) {
   return read_record<LiveJob>(value, [](const Value& in) {
     return LiveJob{field<std::string>(in, "part"), read_field(in, "spec", read_job_spec),
                    read_field(in, "accepted", read_micros)};
@@ -199,7 +199,7 @@
   for (const auto& [first, count] : award.ranges) ranges.push_back({first, count});
   return {{"owner", award.owner}, {"ranges", ranges}, {"job", to_json(award.job)}};
 }
-ReadResult<Award> award(const Value& value) {
+ReadResult<Award> read_award(const Value& value) {
   return read_record<Award>(value, [](const Value& in) {
     Award award;
     award.owner = field<std::string>(in, "owner");
@@ -216,17 +216,17 @@
 Value to_json(const std::vector<OwnedMachine>& machines) {
   Value out = Value::array();
   for (const OwnedMachine& machine : machines)
-    out.push_back(
-        {machine.name, machine.type, machine.zone, machine.spot, machine.address, machine.rented_at.count()});
+    out.push_back({machine.name, machine.type, machine.zone, machine.spot, machine.address,
+                   machine.created_at.count()});
   return out;
 }
-std::size_t owned_machine_bytes(const OwnedMachine& machine) {
-  constexpr std::size_t overhead_bytes = 48;     // quotes, commas, brackets, the spot flag and rented_at
+std::size_t max_owned_machine_bytes(const OwnedMachine& machine) {
+  constexpr std::size_t overhead_bytes = 48;     // quotes, commas, brackets, the spot flag and created_at
   constexpr std::size_t max_address_bytes = 24;  // reserved because the address may be added later
   return machine.name.size() + machine.type.size() + machine.zone.size() +
          std::max(machine.address.size(), max_address_bytes) + overhead_bytes;
 }
-ReadResult<std::vector<OwnedMachine>> owned_machines(const Value& value) {
+ReadResult<std::vector<OwnedMachine>> read_owned_machines(const Value& value) {
   return read_record<std::vector<OwnedMachine>>(value, [](const Value& in) {
     return read_elements<OwnedMachine>(in, [](const Value& entry) {
       return OwnedMachine{element<std::string>(entry, 0), element<std::string>(entry, 1),
@@ -249,7 +249,7 @@
                    {"zones", type.zones}});
   return out;
 }
-ReadResult<std::vector<MachineType>> catalogue(const Value& value) {
+ReadResult<std::vector<MachineType>> read_catalogue(const Value& value) {
   return read_record<std::vector<MachineType>>(value, [](const Value& in) {
     return read_elements<MachineType>(in, [](const Value& entry) {
       MachineType type;
@@ -271,11 +271,11 @@
   for (const DoneBits& chunk : done) out.push_back({chunk.job, chunk.chunk, to_hex(chunk.bits)});
   return out;
 }
-std::size_t done_bytes(const std::string& job, std::size_t tasks) {
+std::size_t max_done_bytes(const std::string& job, std::size_t tasks) {
   constexpr std::size_t overhead_bytes = 24;  // quotes, commas, brackets and the number of the chunk
   return job.size() + tasks / kBitsPerDigit + 1 + overhead_bytes;
 }
-ReadResult<std::vector<DoneBits>> done(const Value& value) {
+ReadResult<std::vector<DoneBits>> read_done_bits(const Value& value) {
   return read_record<std::vector<DoneBits>>(value, [](const Value& in) {
     return read_elements<DoneBits>(in, [](const Value& entry) {
       return DoneBits{element<std::string>(entry, 0), element<std::uint32_t>(entry, 1),
--- a/src/core/negotiation/award_reader.cpp
+++ b/src/core/negotiation/award_reader.cpp
@@ -26,7 +26,7 @@
 Job make_awarded_job(const records::Award& award) {
   Job job;
   job.spec = award.job.spec;
-  job.accepted = award.job.accepted;
+  job.accepted_at = award.job.accepted_at;
   job.owner = award.owner;
   job.tasks.assign(job.spec.tasks, {Task::State::elsewhere, nullptr, 0});
   job.recorded.assign(job.spec.tasks, false);
@@ -36,7 +36,7 @@
 /// Marks as done the tasks that the chunk records as done. Tasks placed in this shard are left alone, because
 /// their workers report how they end. Waiting tasks are marked only while the shard is being loaded.
 void apply_done_bits(Job& job, const records::DoneBits& done, ProgressRead read) {
-  const std::size_t first = std::size_t{done.chunk} * records::kChunk;
+  const std::size_t first = std::size_t{done.chunk} * records::kTasksPerChunk;
   for (std::size_t i = 0; i < done.bits.size() && first + i < job.tasks.size(); ++i) {
     if (!done.bits[i]) continue;
     const Task::State state = job.tasks[first + i].state;
@@ -47,13 +47,13 @@
 }
 
 /// Applies a record of finished tasks that an earlier leader of this shard wrote.
-void load_own_progress(Shard& shard, DoneSlot& slot, const std::vector<records::DoneBits>& chunks) {
+void load_own_progress(Shard& shard, FinishedTaskSlot& slot, const std::vector<records::DoneBits>& chunks) {
   for (const records::DoneBits& chunk : chunks) {
     const auto job = shard.jobs.find(chunk.job);
     // The next write of the record leaves out jobs that no longer exist.
     if (job == shard.jobs.end()) continue;
     if (slot.chunks.insert({chunk.job, chunk.chunk}).second)
-      slot.bytes += records::done_bytes(chunk.job, chunk.bits.size());
+      slot.bytes += records::max_done_bytes(chunk.job, chunk.bits.size());
     apply_done_bits(job->second, chunk, ProgressRead::at_takeover);
   }
 }
@@ -104,7 +104,7 @@
   shard.award_read.end();
   if (!response.ok()) return;
   shard.award_freshness.confirm(requested_at, state_.context.settings.lease_term());
-  shard.changed();
+  shard.request_scheduling_pass();
   load_awards(shard, response.entries, requested_at);
   std::set<std::string> current;
   for (const KeyValue& entry : response.entries) current.insert(entry.key);
@@ -113,14 +113,14 @@
     const bool still_awarded = std::any_of(job.awards.begin(), job.awards.end(),
                                            [&](const auto& award) { return current.contains(award.first); });
     // The owner removes the awards of a job once the job is done or cancelled.
-    if (!still_awarded) shard.end(job);
+    if (!still_awarded) shard.mark_ended(job);
   }
 }
 
 void AwardReader::load_awards(Shard& shard, const std::vector<KeyValue>& entries, Micros requested_at) {
   for (const KeyValue& entry : entries) {
     const std::vector<std::string> key = records::split_key(entry.key);
-    const auto award = records::award(entry.value);
+    const auto award = records::read_award(entry.value);
     if (key.size() != 4 || !award) continue;
     const std::string& winner = key[1];
     if (winner == shard.name)
@@ -138,13 +138,13 @@
   auto found = shard.jobs.find(id);
   if (found == shard.jobs.end()) {
     Job awarded = make_awarded_job(award);
-    awarded.unreconciled = !shard.ready();
-    shard.has_unreconciled_jobs |= awarded.unreconciled;
+    awarded.may_be_on_unreconciled_machines = !shard.ready();
+    shard.has_unreconciled_jobs |= awarded.may_be_on_unreconciled_machines;
     found = shard.jobs.emplace(id, std::move(awarded)).first;
   }
   Job& job = found->second;
   if (job.owner.empty() || !job.awards.emplace(key, shard.name).second) return;
-  shard.changed();
+  shard.request_scheduling_pass();
   for (const std::uint32_t task : awarded_tasks(award, job))
     if (job.tasks[task].state == Task::State::elsewhere) job.set_waiting(task);
 }
@@ -166,7 +166,7 @@
     const auto job = shard.jobs.find(id.task.job);
     if (!placement.wanted || job == shard.jobs.end() || !shard.award_is_stale(job->second, state_.now()))
       continue;
-    shard.change(machine, id, placement, [](Placement& changed) { changed.wanted = false; });
+    shard.change_placement(machine, id, placement, [](Placement& changed) { changed.wanted = false; });
     state_.context.debug([&shard, &machine, &attempt = id] {
       return LogMessage("task stop requested")
           .shard(shard.name)
@@ -175,7 +175,7 @@
           .task(attempt.task.index)
           .attempt(attempt.attempt)
           .machine(machine.name)
-          .why("award records not read within the lease term");
+          .reason("award records not read within the lease term");
     });
     shard.request_push(machine);
   }
@@ -201,13 +201,13 @@
     if (key.size() != 3) continue;
     const bool is_own = key[1] == shard.name;
     if (is_own && read == ProgressRead::periodic) continue;
-    const auto chunks = records::done(entry.value);
+    const auto chunks = records::read_done_bits(entry.value);
     if (!is_own) {
       if (chunks) load_progress_of_peer(shard, *chunks, read);
       continue;
     }
     const auto number = static_cast<std::uint32_t>(std::strtoul(key[2].c_str(), nullptr, 10));
-    DoneSlot& slot = shard.done_slots[number];
+    FinishedTaskSlot& slot = shard.finished_task_slots[number];
     slot.revision = entry.revision;
     if (chunks) load_own_progress(shard, slot, *chunks);
   }
--- a/src/core/negotiation/initiator.cpp
+++ b/src/core/negotiation/initiator.cpp
@@ -39,7 +39,8 @@
   const JobSpec& spec = job.spec;
   const JobSpec& other = refused.spec;
   return spec.team == other.team && spec.priority <= other.priority && spec.spot == other.spot &&
-         spec.zone == other.zone && spec.types == other.types && other.each.fits_in(spec.each);
+         spec.zone == other.zone && spec.types == other.types &&
+         other.task_resources.fits_in(spec.task_resources);
 }
 
 }  // namespace
@@ -56,14 +57,14 @@
 /// single scheduler to see all of its tasks. The number of awards of a job is limited because its final write
 /// removes all of them in one transaction.
 bool Initiator::may_be_awarded(const Job& job) const {
-  return job.owner.empty() && !job.spec.needs_one_decider() &&
+  return job.owner.empty() && !job.spec.needs_single_controller() &&
          job.awards.size() + kReservedWrites <= state_.context.settings.store_transaction_writes;
 }
 
 // ---- calls ---------------------------------------------------------------------------------------
 
 void Initiator::start_calls(Shard& shard) {
-  if (state_.store.busy()) return;
+  if (state_.store.is_queue_long()) return;
   std::size_t calls = 0;
   for (Job* job : jobs_due_for_call(shard)) {
     if (calls >= kMaxCallsPerTick || negotiations_.size() >= kMaxOpenNegotiations) return;
@@ -78,28 +79,31 @@
 std::vector<Job*> Initiator::jobs_due_for_call(Shard& shard) const {
   std::vector<Job*> due;
   for (const QueueEntry& entry : shard.queue)
-    if (entry.job->overflow > 0 && state_.now() >= entry.job->next_call && entry.job->tasks_in_award == 0)
+    if (entry.job->tasks_without_capacity > 0 && state_.now() >= entry.job->next_call_for_proposals_at &&
+        entry.job->tasks_in_award == 0)
       due.push_back(entry.job);
-  std::stable_sort(due.begin(), due.end(),
-                   [](const Job* a, const Job* b) { return a->next_call < b->next_call; });
+  std::stable_sort(due.begin(), due.end(), [](const Job* a, const Job* b) {
+    return a->next_call_for_proposals_at < b->next_call_for_proposals_at;
+  });
   return due;
 }
 
-/// Returns false, and marks the job as refused, if a call cannot help it or no other shard is reachable.
+/// Returns false, and marks the job as needing machines, if a call cannot help it or no other shard is
+/// reachable.
 bool Initiator::start_call(Shard& shard, Job& job) {
   // For a job whose tasks can't be awarded, a call still serves to find peers that can transfer quota share.
   if (!may_be_awarded(job) && !job.quota_share_exhausted) {
-    job.refused = true;
+    job.needs_machines = true;
     return false;
   }
-  job.next_call = state_.now() + seconds(state_.context.policy.call_again_s);
+  job.next_call_for_proposals_at = state_.now() + seconds(state_.context.policy.call_again_s);
   Negotiation negotiation;
   negotiation.shard = shard.name;
   negotiation.leadership_term = shard.leadership_term;
   negotiation.call = make_call(shard, job);
   negotiation.participants = reachable_shards(shard.name);
   if (negotiation.participants.empty()) {
-    job.refused = true;
+    job.needs_machines = true;
     return false;
   }
   ++counters_.calls;
@@ -122,8 +126,8 @@
   call.from_shard = shard.name;
   call.job = job.spec.id;
   call.team = job.spec.team;
-  call.tasks = job.overflow;
-  call.each = job.spec.each;
+  call.tasks = job.tasks_without_capacity;
+  call.task_resources = job.spec.task_resources;
   call.types = job.spec.types;
   call.zone = job.spec.zone.value_or("");
   call.spot = job.spec.spot;
@@ -172,7 +176,7 @@
   const auto found = shard->jobs.find(negotiation.call.job);
   if (found == shard->jobs.end()) return;
   Job& job = found->second;
-  if (!job.can_start(state_.now()) || job.unreconciled) return;
+  if (!job.can_start(state_.now()) || job.may_be_on_unreconciled_machines) return;
 
   const std::vector<Proposal> feasible = feasible_proposals(negotiation, job);
   if (feasible.empty()) return on_no_feasible_proposal(*shard, job, negotiation);
@@ -210,7 +214,8 @@
   ++call.round;
   call.disclosed = true;
   call.priority = job.spec.priority;
-  call.deadline_in = job.spec.deadline ? std::max(millis(1), job.due() - state_.context.wall) : Micros{0};
+  call.time_to_deadline =
+      job.spec.deadline ? std::max(millis(1), job.deadline_at() - state_.context.wall) : Micros{0};
   negotiation.participants.clear();
   for (const Proposal& proposal : feasible) negotiation.participants.insert(proposal.shard);
   const std::uint64_t id = call.id;
@@ -218,8 +223,8 @@
 }
 
 void Initiator::on_no_feasible_proposal(Shard& shard, Job& job, const Negotiation& negotiation) {
-  ++counters_.infeasible;
-  job.refused = true;
+  ++counters_.without_feasible_proposal;
+  job.needs_machines = true;
   if (job.quota_share_exhausted)
     request_quota(shard, job, negotiation);
   else
@@ -234,12 +239,12 @@
     if (proposal.free_quota_share != Quota{}) donors.push_back(&proposal);
   std::sort(donors.begin(), donors.end(),
             [](const Proposal* a, const Proposal* b) { return a->free_quota_share > b->free_quota_share; });
-  const Quota wanted = quota_of(job.spec.each) * static_cast<std::int64_t>(job.waiting.size());
+  const Quota wanted = quota_of(job.spec.task_resources) * static_cast<std::int64_t>(job.waiting.size());
   Quota expected = shard.quota.free(job.spec.team);
   for (const Proposal* donor : donors) {
     if (wanted.fits_in(expected)) return;
     state_.send_to_leader_of(donor->shard, QuotaTransferRequest{donor->shard, shard.name, job.spec.team,
-                                                                wanted - expected, job.accepted});
+                                                                wanted - expected, job.accepted_at});
     expected += donor->free_quota_share;
   }
 }
@@ -248,11 +253,13 @@
 void Initiator::mark_similar_refused(Shard& shard, const Job& refused) {
   for (const QueueEntry& entry : shard.queue) {
     Job& job = *entry.job;
-    if (&job == &refused || job.overflow == 0 || job.tasks_in_award > 0 || job.quota_share_exhausted)
+    if (&job == &refused || job.tasks_without_capacity == 0 || job.tasks_in_award > 0 ||
+        job.quota_share_exhausted)
       continue;
     if (!would_also_be_refused(job, refused)) continue;
-    job.refused = true;
-    job.next_call = std::max(job.next_call, refused.next_call);
+    job.needs_machines = true;
+    job.next_call_for_proposals_at =
+        std::max(job.next_call_for_proposals_at, refused.next_call_for_proposals_at);
   }
 }
 
@@ -262,13 +269,13 @@
 /// winner lacks for them.
 void Initiator::award(Shard& shard, Job& job, const Proposal& best) {
   if (!shard.quota.is_current()) return;
-  const Quota each = quota_of(job.spec.each);
+  const Quota each = quota_of(job.spec.task_resources);
   const Quota spare = shard.quota.spare(job.spec.team);
   const std::int64_t count =
       std::min<std::int64_t>({best.tasks, static_cast<std::int64_t>(job.waiting.size()), kMaxTasksPerAward,
-                              (best.free_quota_share + spare).holds(each)});
+                              (best.free_quota_share + spare).count_that_fit(each)});
   if (count <= 0) return;
-  job.refused = false;
+  job.needs_machines = false;
   const Quota lacking = at_least_zero(each * count - best.free_quota_share);
 
   AwardedTasks award;
@@ -280,7 +287,7 @@
   const std::size_t max_ranges = state_.context.settings.store_value_bytes / 2 / kMaxRangeBytes;
   TaskSelection selection = select_tasks(job, count, max_ranges);
   award.tasks = std::move(selection.tasks);
-  award.record = {shard.name, std::move(selection.ranges), {shard.name, job.spec, job.accepted}};
+  award.record = {shard.name, std::move(selection.ranges), {shard.name, job.spec, job.accepted_at}};
   job.tasks_in_award += static_cast<std::uint32_t>(award.tasks.size());
   quota_transfer_.start(shard, best.shard, job.spec.team, lacking, std::move(award));
 }
--- a/src/core/negotiation/quota_transfer.cpp
+++ b/src/core/negotiation/quota_transfer.cpp
@@ -12,7 +12,7 @@
 /// parsed.
 std::optional<records::QuotaAllocation> allocation_in(const StoreResponse& response) {
   if (!response.ok() || response.entries.empty()) return std::nullopt;
-  return records::quota_allocation(response.entries.front().value);
+  return records::read_quota_allocation(response.entries.front().value);
 }
 
 }  // namespace
@@ -97,7 +97,7 @@
     shard.quota.complete_transfer(transfer.team, transfer.amount);
   else
     shard.quota.cancel_transfer(transfer.team, transfer.amount);
-  shard.changed();
+  shard.request_scheduling_pass();
   if (transfer.award) {
     const auto job = shard.jobs.find(transfer.award->job);
     if (job != shard.jobs.end()) finish_award(job->second, transfer, applied, state_.now());
@@ -121,7 +121,7 @@
   job.tasks_in_award -= static_cast<std::uint32_t>(transfer.award->tasks.size());
   if (applied) {
     job.awards[transfer.award->key] = transfer.to;
-    job.next_call = now;
+    job.next_call_for_proposals_at = now;
     return;
   }
   for (const std::uint32_t index : transfer.award->tasks) job.set_waiting(index);
@@ -139,7 +139,7 @@
 }
 
 void QuotaTransfer::resolve_later(const PendingTransfer& transfer) {
-  state_.context.later(kResolveRetryDelay, [this, transfer] {
+  state_.context.run_after(kResolveRetryDelay, [this, transfer] {
     if (Shard* shard = state_.shard_in_term(transfer.from, transfer.leadership_term))
       resolve(*shard, transfer);
   });
@@ -198,7 +198,7 @@
   if (shard == nullptr) return;
   finish(*shard, transfer, applied);
   shard->quota.load(shares, shard->quota.revision());
-  shard->changed();
+  shard->request_scheduling_pass();
   shard->quota.mark_stale();
 }
 
@@ -209,7 +209,7 @@
   if (shard == nullptr || request.to == request.from || !state_.routes.contains(request.to)) return;
   if (!shard->quota.is_current() || !shard->quota.has_share_of(request.team)) return;
   const Quota spare = at_least_zero(transferable_quota(*shard, request));
-  const Quota wanted = at_least_zero(request.want);
+  const Quota wanted = at_least_zero(request.max_amount);
   const Quota amount{std::min(spare.cpu, wanted.cpu), std::min(spare.gpu, wanted.gpu)};
   if (amount == Quota{}) return;
   start(*shard, request.to, request.team, amount, std::nullopt);
@@ -224,9 +224,9 @@
     if (job.no_offering) continue;
     // No share is kept for a job that the unused share is too small for, if the peer's job has waited longer.
     // Otherwise two shards could each keep a share too small for their own job, and neither job would start.
-    const Quota each = quota_of(job.spec.each);
-    if (request.waits_since < job.accepted && unused.holds(each) == 0) continue;
-    const auto reserved = job.suspect() ? 1 : static_cast<std::int64_t>(job.waiting.size());
+    const Quota each = quota_of(job.spec.task_resources);
+    if (request.job_accepted_at < job.accepted_at && unused.count_that_fit(each) == 0) continue;
+    const auto reserved = job.is_suspect() ? 1 : static_cast<std::int64_t>(job.waiting.size());
     spare -= each * reserved;
   }
   return spare;
@@ -244,7 +244,7 @@
         const auto allocation = allocation_in(response);
         if (!allocation || response.entries.front().revision < read_shard->quota.revision()) return;
         read_shard->quota.load(allocation->quota_shares, response.entries.front().revision);
-        read_shard->changed();
+        read_shard->request_scheduling_pass();
       });
 }
 
--- a/src/core/ownership/machine_ownership_writes.cpp
+++ b/src/core/ownership/machine_ownership_writes.cpp
@@ -10,7 +10,7 @@
 constexpr std::size_t kBlocksPerWrite = 4;
 
 records::OwnedMachine record_of(const Machine& machine) {
-  return {machine.name, machine.type, machine.zone, machine.spot, machine.address, machine.rented_at};
+  return {machine.name, machine.type, machine.zone, machine.spot, machine.address, machine.created_at};
 }
 
 }  // namespace
@@ -47,7 +47,7 @@
   std::size_t bytes = 0;
   while (!requested.empty()) {
     Machine& machine = requested.front();
-    bytes += records::owned_machine_bytes(record_of(machine));
+    bytes += records::max_owned_machine_bytes(record_of(machine));
     block.homes.insert(home_shard(machine.name, machine.zone));
     if (!block.machines.empty() && bytes > limit) break;
     block.machines.push_back(std::move(machine));
@@ -141,7 +141,7 @@
     block.outcome_unknown = outcome_unknown;
     block.request_rewrite(OwnershipBlock::Rewrite::soon);
   }
-  shard->changed();
+  shard->request_scheduling_pass();
   if (outcome_unknown) invalidate();
 }
 
--- a/src/core/placement/preemption.cpp
+++ b/src/core/placement/preemption.cpp
@@ -33,13 +33,13 @@
     reserve(capacity);
     const std::vector<Candidate> candidates = candidates_on(*capacity.machine);
     Resources obtainable = capacity.free + capacity.being_released;
-    for (const Candidate& candidate : candidates) obtainable += candidate.placement->each;
-    if (!job_.spec.each.fits_in(obtainable)) return;
+    for (const Candidate& candidate : candidates) obtainable += candidate.placement->resources;
+    if (!job_.spec.task_resources.fits_in(obtainable)) return;
     for (const Candidate& candidate : candidates) {
       if (is_satisfied()) return;
       if (!may_stop(*candidate.job)) continue;
       stop(*capacity.machine, candidate);
-      capacity.being_released += candidate.placement->each;
+      capacity.being_released += candidate.placement->resources;
       reserve(capacity);
     }
   }
@@ -52,8 +52,8 @@
   };
 
   void reserve(FreeCapacity& capacity) {
-    while (!is_satisfied() && job_.spec.each.fits_in(capacity.free + capacity.being_released)) {
-      capacity.being_released -= job_.spec.each;
+    while (!is_satisfied() && job_.spec.task_resources.fits_in(capacity.free + capacity.being_released)) {
+      capacity.being_released -= job_.spec.task_resources;
       --needed_;
       --within_guarantee_;
     }
@@ -94,8 +94,8 @@
   }
 
   void stop(Machine& machine, const Candidate& candidate) {
-    shard_.change(machine, *candidate.id, *candidate.placement,
-                  [](Placement& placement) { placement.wanted = false; });
+    shard_.change_placement(machine, *candidate.id, *candidate.placement,
+                            [](Placement& placement) { placement.wanted = false; });
     shard_.request_push(machine);
     state_.context.debug([&] {
       const TaskId& task = candidate.id->task;
@@ -108,10 +108,10 @@
           .attempt(candidate.id->attempt)
           .machine(machine.name)
           .detail("for", job_.spec.id)
-          .why(by_priority ? "needed by a job of higher priority"
-                           : "needed for the guarantee of another team");
+          .reason(by_priority ? "needed by a job of higher priority"
+                              : "needed for the guarantee of another team");
     });
-    stopped_[candidate.job->spec.team] += quota_of(candidate.placement->each);
+    stopped_[candidate.job->spec.team] += quota_of(candidate.placement->resources);
   }
 
   ControllerState& state_;
@@ -128,7 +128,7 @@
     : state_(state), shard_(shard), capacities_(std::move(capacities)), remaining_jobs_(kMaxJobsPerPass) {
   const Settings& settings = state_.context.settings;
   for (const auto& [id, job] : shard.jobs) {
-    if (job.present == 0) continue;
+    if (job.placement_count == 0) continue;
     lowest_priority_ = std::min(lowest_priority_, job.spec.priority);
     const std::string& team = job.spec.team;
     if (!over_guarantee_.contains(team) && !shard.used(team).fits_in(guarantee_of(settings, shard, team)))
@@ -152,7 +152,7 @@
 bool PreemptionPass::starts_sooner_where_cached(const Job& job, const TasksPerZone& tasks_per_zone) const {
   if (remaining_jobs_ <= 0 || lowest_priority_ >= job.spec.priority) return false;
   if (job.spec.shape != Shape::service || job.quota_share_exhausted) return false;
-  if (state_.context.wall - job.accepted > kQuickStopTime) return false;
+  if (state_.context.wall - job.accepted_at > kQuickStopTime) return false;
   bool fits_after_stops = false;
   for (const FreeCapacity& capacity : capacities_) {
     const Machine& machine = *capacity.machine;
@@ -160,8 +160,8 @@
         job.failed_on.contains(machine.name))
       continue;
     if (state_.fetch_time(job.spec, machine.type) <= kQuickStopTime) return false;
-    if (job.spec.each.fits_in(machine.free())) return false;  // placed there without preemption
-    fits_after_stops |= job.spec.each.fits_in(free_after_quick_stops(job, capacity));
+    if (job.spec.task_resources.fits_in(machine.free())) return false;  // placed there without preemption
+    fits_after_stops |= job.spec.task_resources.fits_in(free_after_quick_stops(job, capacity));
   }
   return fits_after_stops;
 }
@@ -172,7 +172,8 @@
     const auto other = shard_.jobs.find(id.task.job);
     if (!can_be_stopped(placement) || other == shard_.jobs.end()) continue;
     const JobSpec& spec = other->second.spec;
-    if (spec.priority < job.spec.priority && spec.save <= kQuickStopTime) free += placement.each;
+    if (spec.priority < job.spec.priority && spec.save_duration <= kQuickStopTime)
+      free += placement.resources;
   }
   return free;
 }
@@ -198,16 +199,17 @@
   --remaining_jobs_;
   for (FreeCapacity& capacity : capacities_) capacity.free = capacity.machine->free();
   const Job& job = *entry.job;
-  const Resources& each = job.spec.each;
+  const Resources& each = job.spec.task_resources;
   // Limited to the tasks that the quota share lets start. Otherwise two teams could keep stopping each
   // other's tasks.
   const std::int64_t startable = job.quota_share_exhausted
                                      ? kMaxStopsPerJob
-                                     : shard_.free_quota_share(job.spec.team).holds(quota_of(each));
-  const std::int64_t needed = std::min<std::int64_t>({job.overflow, kMaxStopsPerJob, startable});
+                                     : shard_.free_quota_share(job.spec.team).count_that_fit(quota_of(each));
+  const std::int64_t needed =
+      std::min<std::int64_t>({job.tasks_without_capacity, kMaxStopsPerJob, startable});
   const Quota unused_guarantee =
       guarantee_of(state_.context.settings, shard_, job.spec.team) - shard_.used(job.spec.team);
-  std::int64_t within_guarantee = std::min(needed, unused_guarantee.holds(quota_of(each)));
+  std::int64_t within_guarantee = std::min(needed, unused_guarantee.count_that_fit(quota_of(each)));
   // A job that misses an objective anyway comes after the jobs that can still meet theirs. Capacity released
   // for it would go to those jobs, and still more tasks would have to be stopped.
   if (entry.missed_objectives > 0) within_guarantee = 0;
--- a/src/core/placement/scheduler.cpp
+++ b/src/core/placement/scheduler.cpp
@@ -21,14 +21,14 @@
 
 std::int64_t smallest_cpu(const std::vector<QueueEntry>& queue) {
   std::int64_t smallest = INT64_MAX;
-  for (const QueueEntry& entry : queue) smallest = std::min(smallest, entry.job->spec.each.cpu);
+  for (const QueueEntry& entry : queue) smallest = std::min(smallest, entry.job->spec.task_resources.cpu);
   return smallest;
 }
 
-std::uint32_t count_overflow(const Job& job) {
-  // A job that is suspected to be faulty needs capacity for one attempt only. With an overflow of zero it
+std::uint32_t count_tasks_without_capacity(const Job& job) {
+  // A job that is suspected to be faulty needs capacity for one attempt only. With a count of zero it
   // would never get a machine.
-  if (job.suspect()) return job.present == 0 && !job.waiting.empty() ? 1 : 0;
+  if (job.is_suspect()) return job.placement_count == 0 && !job.waiting.empty() ? 1 : 0;
   return static_cast<std::uint32_t>(job.waiting.size());
 }
 
@@ -39,9 +39,9 @@
 
 }  // namespace
 
-void Scheduler::pass(Shard& shard) {
-  if (state_.now() < shard.next_pass) return;
-  shard.next_pass = state_.now() + kPassInterval;
+void Scheduler::run_pass(Shard& shard) {
+  if (state_.now() < shard.next_scheduling_pass_at) return;
+  shard.next_scheduling_pass_at = state_.now() + kPassInterval;
   rebuild_queue(shard, state_.context);
   if (shard.queue.empty()) return;
   const std::int64_t smallest = smallest_cpu(shard.queue);
@@ -54,11 +54,12 @@
     job.only_where_cached = preemption.starts_sooner_where_cached(job, tasks_per_zone);
     if (!capacities.empty()) placer_.place_on_best(shard, job, capacities, tasks_per_zone);
     remove_too_small(capacities, smallest);
-    if (!job.waiting.empty() && !quota_of(job.spec.each).fits_in(shard.free_quota_share(job.spec.team)))
+    if (!job.waiting.empty() &&
+        !quota_of(job.spec.task_resources).fits_in(shard.free_quota_share(job.spec.team)))
       job.quota_share_exhausted = true;
-    job.overflow = count_overflow(job);
-    if (job.overflow == 0) {
-      job.refused = false;
+    job.tasks_without_capacity = count_tasks_without_capacity(job);
+    if (job.tasks_without_capacity == 0) {
+      job.needs_machines = false;
       job.no_offering = false;
     } else if (preemption.may_preempt_for(job)) {
       preemption.preempt_for(entry, tasks_per_zone);
@@ -70,8 +71,8 @@
   return shard.may_start(job, state_.now()) && !job.failed_on.contains(machine.name);
 }
 
-void Scheduler::fill(Shard& shard, Machine& machine) {
-  if (shard.queue.empty() || !fleet_.usable(machine)) return;
+void Scheduler::fill_machine(Shard& shard, Machine& machine) {
+  if (shard.queue.empty() || !fleet_.is_usable(machine)) return;
   const auto first = std::find_if(shard.queue.begin(), shard.queue.end(), [&](const QueueEntry& entry) {
     return may_start_on(shard, *entry.job, machine);
   });
@@ -90,7 +91,7 @@
   const Machine& machine = *capacity.machine;
   if (!may_start_on(shard, job, machine)) return;
   if ((only_if_cached || job.only_where_cached) && !machine.images.contains(job.spec.image)) return;
-  if (!job.spec.each.fits_in(capacity.free)) return;
+  if (!job.spec.task_resources.fits_in(capacity.free)) return;
   TasksPerZone tasks_per_zone = tasks_per_zone_of(shard, job);
   placer_.place_on(shard, job, capacity, tasks_per_zone);
 }
@@ -98,33 +99,35 @@
 bool Scheduler::has_waiting_tasks(const Shard& shard, const CallForProposals& call) {
   return std::any_of(shard.jobs.begin(), shard.jobs.end(), [&](const auto& entry) {
     const Job& job = entry.second;
-    return job.overflow > 0 && !job.quota_share_exhausted &&
+    return job.tasks_without_capacity > 0 && !job.quota_share_exhausted &&
            (!call.disclosed || job.spec.priority >= call.priority);
   });
 }
 
 Scheduler::CallCapacity Scheduler::capacity_for(const Shard& shard, const CallForProposals& call) const {
   Job probe;
-  probe.spec.each = call.each;
+  probe.spec.task_resources = call.task_resources;
   probe.spec.types = call.types;
   probe.spec.spot = call.spot;
   if (!call.zone.empty()) probe.spec.zone = call.zone;
   CallCapacity capacity;
   for (const auto& [name, machine] : shard.machines) {
-    if (!fleet_.usable(machine) || !is_allowed_on(probe, machine, {})) continue;
+    if (!fleet_.is_usable(machine) || !is_allowed_on(probe, machine, {})) continue;
     const Resources free = machine.free();
-    const std::int64_t tasks = free.holds(call.each);
+    const std::int64_t tasks = free.count_that_fit(call.task_resources);
     capacity.now += tasks;
     capacity.cached |= tasks > 0 && machine.images.contains(call.image);
     if (capacity.now < call.tasks)
-      capacity.soon += (free + machine.released_by(state_.now() + kOfferHorizon)).holds(call.each) - tasks;
+      capacity.soon +=
+          (free + machine.released_by(state_.now() + kOfferHorizon)).count_that_fit(call.task_resources) -
+          tasks;
   }
   return capacity;
 }
 
 Scheduler::Offer Scheduler::offer(Shard& shard, const CallForProposals& call) const {
   const Quota quota = shard.free_quota_share(call.team) + call.spare_quota;
-  const std::int64_t within_quota = quota.holds(quota_of(call.each));
+  const std::int64_t within_quota = quota.count_that_fit(quota_of(call.task_resources));
   if (within_quota <= 0) return {};
   const std::int64_t max_tasks = std::min(within_quota, std::int64_t{call.tasks});
   const CallCapacity capacity = capacity_for(shard, call);
@@ -139,7 +142,7 @@
     out.tasks = static_cast<std::uint32_t>(std::min(capacity.soon, max_tasks));
     out.delay = kOfferHorizon + kAssumedFetchTime;
   }
-  if (call.disclosed && call.deadline_in.count() > 0 && out.delay > call.deadline_in) out.tasks = 0;
+  if (call.disclosed && call.time_to_deadline.count() > 0 && out.delay > call.time_to_deadline) out.tasks = 0;
   return out;
 }
 
--- a/src/core/provisioning/demand.cpp
+++ b/src/core/provisioning/demand.cpp
@@ -13,9 +13,9 @@
 
 void pack(Bin& bin, Demand& demand) {
   const JobSpec& spec = demand.job->spec;
-  if (demand.tasks <= 0 || bin.free.cpu < spec.each.cpu || !suits(spec, bin.offering)) return;
-  const std::int64_t tasks = std::min(demand.tasks, bin.free.holds(spec.each));
-  bin.free -= spec.each * tasks;
+  if (demand.tasks <= 0 || bin.free.cpu < spec.task_resources.cpu || !suits(spec, bin.offering)) return;
+  const std::int64_t tasks = std::min(demand.tasks, bin.free.count_that_fit(spec.task_resources));
+  bin.free -= spec.task_resources * tasks;
   demand.tasks -= tasks;
 }
 
@@ -23,17 +23,17 @@
   NewestRunning newest;
   for (const auto& [name, machine] : shard.machines)
     if (machine.liveness.status_received)
-      newest[machine.type] = std::max(newest[machine.type], machine.rented_at);
+      newest[machine.type] = std::max(newest[machine.type], machine.created_at);
   return newest;
 }
 
 bool DemandEstimate::is_expected_to_boot(const Machine& machine, const MachineType& type,
                                          const NewestRunning& newest) const {
-  const Micros age = state_.context.wall - machine.rented_at;
+  const Micros age = state_.context.wall - machine.created_at;
   if (age <= type.boot * 8 / 5 + kBootMargin) return true;
-  if (!fleet_.booting(machine)) return false;
+  if (!fleet_.may_be_booting(machine)) return false;
   const auto newest_of_type = newest.find(machine.type);
-  return newest_of_type == newest.end() || newest_of_type->second < machine.rented_at;
+  return newest_of_type == newest.end() || newest_of_type->second < machine.created_at;
 }
 
 std::vector<Bin> DemandEstimate::future_bins(const Shard& shard) const {
@@ -44,8 +44,10 @@
     if (machine.lifecycle.decommissioned || type == nullptr) continue;
     const Offering offering{machine.type, machine.zone, machine.spot};
     if (machine.liveness.status_received) {
-      if (fleet_.usable(machine)) bins.push_back({offering, machine.released_by(state_.now() + type->boot)});
-    } else if (!shard.cut_zones.contains(machine.zone) && is_expected_to_boot(machine, *type, newest)) {
+      if (fleet_.is_usable(machine))
+        bins.push_back({offering, machine.released_by(state_.now() + type->boot)});
+    } else if (!shard.unreachable_zones.contains(machine.zone) &&
+               is_expected_to_boot(machine, *type, newest)) {
       bins.push_back({offering, machine.size});
     }
   }
@@ -53,11 +55,12 @@
 }
 
 Demand DemandEstimate::demand_of(Job& job, const Quota& free_quota) const {
-  Demand demand{&job, std::min<std::int64_t>(job.overflow, free_quota.holds(quota_of(job.spec.each)))};
-  if (!state_.context.settings.best_effort(job.spec)) return demand;
+  Demand demand{&job, std::min<std::int64_t>(job.tasks_without_capacity,
+                                             free_quota.count_that_fit(quota_of(job.spec.task_resources)))};
+  if (!state_.context.settings.is_best_effort(job.spec)) return demand;
   demand.best_effort = true;
-  const Micros waiting_for = state_.context.wall - job.accepted;
-  const bool overdue = !job.begun() && waiting_for > Settings::kLongestWaitForFirstTask;
+  const Micros waiting_for = state_.context.wall - job.accepted_at;
+  const bool overdue = !job.has_begun() && waiting_for > Settings::kFirstTaskOverdueAfter;
   demand.spot_only = !overdue;
   // Best-effort jobs must begin in time, too: an overdue first task gets a machine at any price.
   if (overdue) demand.tasks = std::min<std::int64_t>(demand.tasks, 1);
@@ -69,11 +72,11 @@
   std::map<std::string, Quota> free_quotas;  // by team
   for (auto& [id, job] : shard.jobs) {
     // The shard's own jobs need a machine only once all peers have refused them.
-    if (job.overflow == 0 || !(job.refused || !job.owner.empty())) continue;
+    if (job.tasks_without_capacity == 0 || !(job.needs_machines || !job.owner.empty())) continue;
     const auto [free_quota, inserted] = free_quotas.try_emplace(job.spec.team);
     if (inserted) free_quota->second = shard.free_quota_share(job.spec.team);
     Demand demand = demand_of(job, free_quota->second);
-    free_quota->second -= quota_of(job.spec.each) * demand.tasks;
+    free_quota->second -= quota_of(job.spec.task_resources) * demand.tasks;
     for (Bin& bin : bins) pack(bin, demand);
     if (demand.tasks > 0) demands.push_back(demand);
   }
--- a/src/core/provisioning/scale_in.cpp
+++ b/src/core/provisioning/scale_in.cpp
@@ -25,7 +25,7 @@
       continue;
     // A machine behind a network partition is idle only because it can't be reached, and is needed again once
     // the partition has healed.
-    if (machine.liveness.lease_expired || shard.cut_zones.contains(machine.zone)) continue;
+    if (machine.liveness.lease_expired || shard.unreachable_zones.contains(machine.zone)) continue;
     if (!machine.idle()) {
       drain_best_effort(shard, machine);
       continue;
@@ -36,14 +36,14 @@
       return LogMessage("machine decommissioned")
           .shard(shard.name)
           .machine(machine.name)
-          .why("idle longer than the configured time");
+          .reason("idle longer than the configured time");
     });
   }
 }
 
 bool ScaleIn::is_idle_long_enough(const Machine& machine) const {
   return state_.now() - machine.idle_since >= seconds(state_.context.policy.idle_return_s) &&
-         state_.context.wall - machine.rented_at >= kMinBilledTime;
+         state_.context.wall - machine.created_at >= kMinBilledTime;
 }
 
 bool ScaleIn::has_only_best_effort(const Shard& shard, const Machine& machine) const {
@@ -51,24 +51,24 @@
     const Placement& placement = task.second;
     const auto job = shard.jobs.find(task.first.task.job);
     return placement.wanted && placement.takes_resources() && job != shard.jobs.end() &&
-           state_.context.settings.best_effort(job->second.spec);
+           state_.context.settings.is_best_effort(job->second.spec);
   });
 }
 
 void ScaleIn::drain_best_effort(Shard& shard, Machine& machine) const {
   if (machine.spot) return;
   if (!has_only_best_effort(shard, machine)) {
-    machine.needed_at = state_.now();
+    machine.last_needed_at = state_.now();
     return;
   }
-  if (state_.now() - machine.needed_at < seconds(state_.context.policy.idle_return_s)) return;
+  if (state_.now() - machine.last_needed_at < seconds(state_.context.policy.idle_return_s)) return;
   for (auto& [id, placement] : machine.tasks) {
     const Job& job = shard.jobs.at(id.task.job);
     // The first task of a job is not stopped while its time to start has not passed: otherwise the job would
     // need another task to start elsewhere within that time.
-    const bool first_task_due = state_.context.wall - job.accepted < Settings::kFirstTaskWithin;
-    if (first_task_due && job.present == 1) continue;
-    shard.change(machine, id, placement, [](Placement& changed) { changed.wanted = false; });
+    const bool first_task_due = state_.context.wall - job.accepted_at < Settings::kFirstTaskStartLimit;
+    if (first_task_due && job.placement_count == 1) continue;
+    shard.change_placement(machine, id, placement, [](Placement& changed) { changed.wanted = false; });
     shard.request_push(machine);
   }
 }
@@ -76,19 +76,20 @@
 void ScaleIn::decommission_silent_machines(Shard& shard) const {
   const Micros lease = state_.context.settings.worker_lease;
   for (auto& [name, machine] : shard.machines) {
-    if (machine.liveness.status_received || machine.lifecycle.decommissioned || fleet_.booting(machine))
+    if (machine.liveness.status_received || machine.lifecycle.decommissioned ||
+        fleet_.may_be_booting(machine))
       continue;
     // A machine behind a network partition may have been running before this leadership term began, so it
     // gets more time. The time is limited because machines that never booted look like a partition as well,
     // and no machine is created in their zone as long as they are kept.
-    const Micros max_silence = shard.cut_zones.contains(machine.zone) ? lease * 3 / 2 : lease;
+    const Micros max_silence = shard.unreachable_zones.contains(machine.zone) ? lease * 3 / 2 : lease;
     // After a zone has become reachable again, its workers have the duration of a lease to send a heartbeat.
-    if (state_.now() - std::max(shard.acquired_at, shard.cut_over) <= max_silence) continue;
+    if (state_.now() - std::max(shard.acquired_at, shard.last_zone_recovery_at) <= max_silence) continue;
     machine.lifecycle.decommissioned = true;
     state_.context.info(LogMessage("machine decommissioned")
                             .shard(shard.name)
                             .machine(name)
-                            .why("no status received after its expected boot time"));
+                            .reason("no status received after its expected boot time"));
   }
 }
 
--- a/src/core/provisioning/scale_out.cpp
+++ b/src/core/provisioning/scale_out.cpp
@@ -12,7 +12,8 @@
 
 std::string ScaleOut::next_idempotency_key() {
   // The incarnation is unique to this process, so no other process ever uses the same key.
-  return state_.self() + "-" + state_.context.incarnation + "-" + std::to_string(++idempotency_key_count_);
+  return state_.own_host() + "-" + state_.context.incarnation + "-" +
+         std::to_string(++idempotency_key_count_);
 }
 
 std::map<Offering, ScaleOut::MachinesWanted> ScaleOut::machines_wanted(Shard& shard) const {
@@ -104,7 +105,7 @@
 void ScaleOut::report_exhausted(const Offering& offering) {
   offerings_.mark_exhausted(offering);
   for (const Peer& peer : state_.context.settings.peers)
-    state_.context.act(PeerSend{peer.host, CapacityExhausted{offering.type, offering.zone, offering.spot}});
+    state_.context.emit(PeerSend{peer.host, CapacityExhausted{offering.type, offering.zone, offering.spot}});
 }
 
 void ScaleOut::on_capacity_exhausted(const CapacityExhausted& exhausted) {
--- a/src/core/state/machine.h
+++ b/src/core/state/machine.h
@@ -27,14 +27,14 @@
   auto operator<=>(const AttemptId&) const = default;
 };
 
-/// An attempt that is, or may be, on a machine. `wanted`, `seen` and `each` must be changed only through
-/// Shard::change, which updates the sums. Times are on the steady clock.
+/// An attempt that is, or may be, on a machine. `wanted`, `reported_state` and `resources` must be changed
+/// only through Shard::change_placement, which updates the sums. Times are on the steady clock.
 struct Placement {
-  enum class Seen : std::uint8_t { no, fetching, running, saving, ended };
-  bool wanted = true;    ///< false once the attempt is to be stopped
-  Seen seen = Seen::no;  ///< the state that the worker last reported
+  enum class ReportedState : std::uint8_t { no, fetching, running, saving, ended };
+  bool wanted = true;                                ///< false once the attempt is to be stopped
+  ReportedState reported_state = ReportedState::no;  ///< the state that the worker last reported
   ExitCause cause = ExitCause::none;
-  Resources each;          ///< resources that the task takes
+  Resources resources;     ///< resources that the task takes
   Quota* usage = nullptr;  ///< the sum that includes it: that of its team, or that of unknown jobs
   bool of_known_job = false;
   bool of_service = false;
@@ -48,7 +48,7 @@
   StartDelivery start;
 
   /// Returns whether the attempt takes resources of its machine.
-  bool takes_resources() const { return seen != Seen::ended; }
+  bool takes_resources() const { return reported_state != ReportedState::ended; }
 };
 
 /// A machine owned by a shard, as known to the leader. Times are on the steady clock unless noted otherwise.
@@ -62,7 +62,7 @@
   Resources used;                     ///< by attempts that take resources
   Resources being_released;           ///< the part of `used` taken by attempts that are no longer wanted
   int services = 0;                   ///< number of service tasks, which run until they are cancelled
-  Micros rented_at{0};                ///< wall clock
+  Micros created_at{0};               ///< wall clock
   std::uint32_t ownership_block = 0;  ///< number of the ownership record that names the machine
   bool in_use = false;  ///< the ownership record contains the address; no task may be started before that
 
@@ -71,10 +71,10 @@
   MachineLifecycle lifecycle;
   bool reconciled = false;  ///< all its tasks are known: a status was received, or its lease expired
   Micros idle_since{0};
-  Micros needed_at{0};                ///< when it last had a task that is not best-effort
+  Micros last_needed_at{0};           ///< when it last had a task that is not best-effort
   std::set<std::string> failed_jobs;  ///< ids of jobs whose tasks failed on it since its last success
   bool push_in_flight = false;        ///< a pushed command request to it is in flight
-  bool push_pending = false;          ///< it is in Shard::push
+  bool push_pending = false;          ///< it is in Shard::machines_to_push_to
   std::map<AttemptId, Placement> tasks;
   ImageCache images;
 
@@ -84,14 +84,14 @@
   /// incarnation are ignored from now on.
   void begin_incarnation(std::uint64_t number) {
     liveness.begin_incarnation(number);
-    acknowledgements.forget_reply();
+    acknowledgements.clear_reply();
   }
   /// Returns the resources of attempts that are no longer wanted or are expected to end by `when`.
   Resources released_by(Micros when) const {
     Resources released;
     for (const auto& [id, placement] : tasks)
       if (placement.takes_resources() && (!placement.wanted || placement.ends_at <= when))
-        released += placement.each;
+        released += placement.resources;
     return released;
   }
 };
@@ -104,7 +104,7 @@
   machine.zone = record.zone;
   machine.spot = record.spot;
   machine.address = record.address;
-  machine.rented_at = record.rented_at;
+  machine.created_at = record.created_at;
   machine.in_use = !record.address.empty();
   return machine;
 }
--- a/src/core/workers/command_builder.cpp
+++ b/src/core/workers/command_builder.cpp
@@ -32,12 +32,13 @@
   std::vector<Command> starts;
   for (auto& [id, placement] : machine.tasks) {
     Job* job = shard.job_of(id.task);
-    if (placement.seen == Placement::Seen::ended) {
+    if (placement.reported_state == Placement::ReportedState::ended) {
       if (may_be_forgotten(job, id, placement))
         forgets.push_back({Command::Kind::forget, id.task, id.attempt, {}});
     } else if (!placement.wanted) {
-      if (placement.seen != Placement::Seen::no) stops.push_back(stop_command(shard, job, id, placement));
-    } else if (placement.seen == Placement::Seen::no && placement.start.may_be_sent() &&
+      if (placement.reported_state != Placement::ReportedState::no)
+        stops.push_back(stop_command(shard, job, id, placement));
+    } else if (placement.reported_state == Placement::ReportedState::no && placement.start.may_be_sent() &&
                starts.size() < kStartsPerMessage && may_send_start(shard, job, id)) {
       starts.push_back({Command::Kind::start, id.task, id.attempt, {}});
       if (replied_heartbeat != 0) placement.start.sent_in_reply(replied_heartbeat);
@@ -74,13 +75,14 @@
   if (job == nullptr || job->ended || job->finalizing || shard.award_is_stale(*job, state_.now()))
     return false;
   if (!state_.final_states.has_ended(id.task.job)) return true;
-  state_.context.violated(Invariant::finished_job_stays_off, LogMessage("start of a task whose job has ended")
-                                                                 .shard(shard.name)
-                                                                 .token(shard.fencing_token)
-                                                                 .job(id.task.job)
-                                                                 .task(id.task.index)
-                                                                 .attempt(id.attempt));
-  shard.end(*job);
+  state_.context.report_violation(Invariant::finished_job_stays_off,
+                                  LogMessage("start of a task whose job has ended")
+                                      .shard(shard.name)
+                                      .token(shard.fencing_token)
+                                      .job(id.task.job)
+                                      .task(id.task.index)
+                                      .attempt(id.attempt));
+  shard.mark_ended(*job);
   return false;
 }
 
@@ -89,11 +91,12 @@
 /// and even if the machine hangs while it saves. Only awarded jobs have that limit.
 Micros CommandBuilder::stop_grace_period(const Shard& shard, const Job& job) const {
   const Settings& settings = state_.context.settings;
-  if (job.ended || job.spec.checkpoint.count() == 0) return {};
-  const Micros longest_save = surely_over(std::max(settings.worker_lease, job.spec.save));
+  if (job.ended || job.spec.checkpoint_interval.count() == 0) return {};
+  const Micros longest_save =
+      upper_bound_on_local_clock(std::max(settings.worker_lease, job.spec.save_duration));
   const bool in_time = job.owner.empty() ||
                        state_.now() + longest_save <= shard.award_freshness.read_at + settings.cancel_within;
-  return in_time ? job.spec.save : Micros{0};
+  return in_time ? job.spec.save_duration : Micros{0};
 }
 
 std::vector<Command> CommandBuilder::stops_for_unknown_tasks(const Shard& shard, const Heartbeat& heartbeat) {
@@ -107,7 +110,7 @@
 
 void CommandBuilder::log(const Shard& shard, const Machine& machine, const std::vector<Command>& commands,
                          std::uint64_t replied_heartbeat) const {
-  if (!state_.context.debugging) return;
+  if (!state_.context.debug_enabled) return;
   for (const Command& command : commands) {
     state_.context.debug([&] {
       LogMessage message(event_of(shard, command));
--- a/src/core/workers/failure_detector.cpp
+++ b/src/core/workers/failure_detector.cpp
@@ -27,41 +27,41 @@
 }  // namespace
 
 bool FailureDetector::sent_after_delivery_of(Micros sent_at) const {
-  return state_.now() - sent_at >= Settings::kWorkerPatience;
+  return state_.now() - sent_at >= Settings::kHeartbeatTimeout;
 }
 
 /// A single lost push is weak evidence, because a network partition may drop it and delay the heartbeats that
 /// follow. The machine is sent another push as soon as a heartbeat arrives. If that push is lost too and the
 /// next heartbeat arrives, the machine probably receives nothing.
 void FailureDetector::count_lost_push(Shard& shard, Machine& machine) {
-  if (!machine.acknowledgements.take_push_lost()) return;
+  if (!machine.acknowledgements.consume_push_lost()) return;
   shard.request_push(machine);
   if (machine.acknowledgements.count_lost_push())
     add_missed_acknowledgement(shard, machine, Acknowledgements::kStrongEvidence);
 }
 
 void FailureDetector::add_missed_acknowledgement(Shard& shard, Machine& machine, int weight) {
-  machine.acknowledgements.add_missed(weight);
+  machine.acknowledgements.add_evidence(weight);
   shard.request_push(machine);
 }
 
-bool FailureDetector::usable(const Machine& machine) const {
+bool FailureDetector::is_usable(const Machine& machine) const {
   const Micros now = state_.now();
   const Liveness& liveness = machine.liveness;
   return liveness.status_received && machine.reconciled && machine.in_use && !liveness.lease_expired &&
-         machine.lifecycle.accepts_tasks(now) && !machine.acknowledgements.doubtful() &&
+         machine.lifecycle.accepts_tasks(now) && !machine.acknowledgements.suspected_unreachable() &&
          // A machine whose heartbeats do not arrive may still receive commands, but these do not renew its
          // lease.
          now - liveness.last_contact() <= state_.context.settings.heartbeat_interval * 2 + kHeartbeatSlack;
 }
 
-bool FailureDetector::booting(const Machine& machine) const {
+bool FailureDetector::may_be_booting(const Machine& machine) const {
   const MachineType* type = state_.machine_type(machine.type);
-  return type == nullptr || state_.context.wall - machine.rented_at <= type->boot * 5 / 2 + kBootSlack;
+  return type == nullptr || state_.context.wall - machine.created_at <= type->boot * 5 / 2 + kBootSlack;
 }
 
 void FailureDetector::check(Shard& shard) {
-  const Micros lease = surely_over(state_.context.settings.worker_lease);
+  const Micros lease = upper_bound_on_local_clock(state_.context.settings.worker_lease);
   for (auto& [name, machine] : shard.machines) {
     check_lease(shard, machine, lease);
     if (machine.lifecycle.quarantined && machine.idle() &&
@@ -91,7 +91,7 @@
     state_.context.info(LogMessage("worker lease expired")
                             .shard(shard.name)
                             .machine(machine.name)
-                            .why("no heartbeat was replied to for the whole lease"));
+                            .reason("no heartbeat was replied to for the whole lease"));
   tasks_.release_all(shard, machine);
 }
 
@@ -107,13 +107,15 @@
   const Micros longest_pause = state_.context.settings.longest_heartbeat_pause();
   std::map<std::string, ZoneCount> zones;
   for (const auto& [name, machine] : shard.machines) {
-    if (machine.lifecycle.decommissioned || (!machine.liveness.status_received && booting(machine))) continue;
+    if (machine.lifecycle.decommissioned || (!machine.liveness.status_received && may_be_booting(machine)))
+      continue;
     ZoneCount& count = zones[machine.zone];
     ++count.expected;
     if (state_.now() - machine.liveness.last_heartbeat_at > longest_pause) ++count.silent;
   }
   // A zone without machines sends no heartbeat that could show that it is reachable again.
-  std::erase_if(shard.cut_zones, [&](const auto& cut) { return !zones.contains(cut.first); });
+  std::erase_if(shard.unreachable_zones,
+                [&](const auto& unreachable_zone) { return !zones.contains(unreachable_zone.first); });
   for (const auto& [zone, count] : zones) {
     if (count.mostly_silent())
       on_zone_unreachable(shard, zone);
@@ -123,20 +125,21 @@
 }
 
 void FailureDetector::on_zone_unreachable(Shard& shard, const std::string& zone) const {
-  const auto cut = shard.cut_zones.find(zone);
-  if (cut == shard.cut_zones.end()) {
+  const auto unreachable_zone = shard.unreachable_zones.find(zone);
+  if (unreachable_zone == shard.unreachable_zones.end()) {
     state_.context.info(LogMessage("zone unreachable").shard(shard.name).zone(zone));
-    shard.cut_zones[zone] = state_.now();
-  } else if (state_.now() - cut->second > state_.context.settings.worker_lease * kUnreachableZoneLeases) {
-    shard.cut_zones.erase(cut);
+    shard.unreachable_zones[zone] = state_.now();
+  } else if (state_.now() - unreachable_zone->second >
+             state_.context.settings.worker_lease * kUnreachableZoneLeases) {
+    shard.unreachable_zones.erase(unreachable_zone);
   }
 }
 
 void FailureDetector::on_zone_reachable(Shard& shard, const std::string& zone) const {
-  if (shard.cut_zones.erase(zone) == 0) return;
+  if (shard.unreachable_zones.erase(zone) == 0) return;
   state_.context.info(LogMessage("zone reachable again").shard(shard.name).zone(zone));
-  shard.cut_over = state_.now();
-  shard.changed();
+  shard.last_zone_recovery_at = state_.now();
+  shard.request_scheduling_pass();
 }
 
 void FailureDetector::decommission_failed(Shard& shard) {
@@ -147,14 +150,14 @@
     const bool unreachable = machine.acknowledgements.unreachable();
     const bool silent = may_hold_lease(machine) &&
                         state_.now() - machine.liveness.last_contact() > longest_silence &&
-                        !shard.cut_zones.contains(machine.zone);
+                        !shard.unreachable_zones.contains(machine.zone);
     if (machine.lifecycle.decommissioned || !(unreachable || silent)) continue;
     machine.lifecycle.decommissioned = true;
     state_.context.info(LogMessage("machine decommissioned")
                             .shard(shard.name)
                             .machine(name)
-                            .why(unreachable ? "it sends heartbeats but acknowledges nothing"
-                                             : "its heartbeats or statuses no longer arrive"));
+                            .reason(unreachable ? "it sends heartbeats but acknowledges nothing"
+                                                : "its heartbeats or statuses no longer arrive"));
   }
 }
 
--- a/src/core/workers/fleet_handover.cpp
+++ b/src/core/workers/fleet_handover.cpp
@@ -12,7 +12,7 @@
   std::vector<TaskStatus> statuses;
   for (const auto& [id, placement] : machine.tasks) {
     if (!placement.takes_resources()) continue;
-    const bool saving = placement.seen == Placement::Seen::saving;
+    const bool saving = placement.reported_state == Placement::ReportedState::saving;
     statuses.push_back({id.task, id.attempt, saving ? TaskPhase::saving : TaskPhase::running, {}});
   }
   return statuses;
@@ -41,14 +41,14 @@
 /// for the shard before it sent the handover, and this controller replaced exactly that leader's lease
 /// record.
 void Fleet::restore_unreachable_machines(Shard& shard) {
-  for (const UnreachableMachine& unreachable : std::exchange(shard.handover, {})) {
+  for (const UnreachableMachine& unreachable : std::exchange(shard.unreachable_at_handover, {})) {
     const auto found = shard.machines.find(unreachable.machine);
     if (found == shard.machines.end()) continue;
     Machine& machine = found->second;
     for (const TaskStatus& status : unreachable.tasks) tasks_.apply_status(shard, machine, status, 0);
-    machine.liveness.last_status_at = shard.acquired_at - unreachable.status_ago;
-    machine.liveness.last_heartbeat_at = shard.acquired_at - unreachable.status_ago;
-    machine.liveness.last_reply_at = shard.acquired_at - unreachable.reply_ago;
+    machine.liveness.last_status_at = shard.acquired_at - unreachable.since_last_status;
+    machine.liveness.last_heartbeat_at = shard.acquired_at - unreachable.since_last_status;
+    machine.liveness.last_reply_at = shard.acquired_at - unreachable.since_last_reply;
     shard.set_reconciled(machine, true);
   }
 }
--- a/src/core/workers/fleet_heartbeats.cpp
+++ b/src/core/workers/fleet_heartbeats.cpp
@@ -20,7 +20,7 @@
   else
     reply.commands = reply_to_untrusted_status(shard, *machine, heartbeat);
   commands_.log(shard, *machine, reply.commands, heartbeat.sequence_number);
-  state_.context.act(AnswerHeartbeat{request, std::move(reply)});
+  state_.context.emit(AnswerHeartbeat{request, std::move(reply)});
 }
 
 /// Returns the machine of a heartbeat that may be replied to; null if the heartbeat must be refused.
@@ -37,7 +37,7 @@
   if (found == shard.machines.end()) return nullptr;
   // The worker does not wait for the reply to a duplicate heartbeat, and that reply would not renew its
   // lease.
-  if (found->second.liveness.is_copy(heartbeat)) return nullptr;
+  if (found->second.liveness.is_duplicate(heartbeat)) return nullptr;
   return &found->second;
 }
 
--- a/src/core/workers/fleet_pushes.cpp
+++ b/src/core/workers/fleet_pushes.cpp
@@ -8,11 +8,13 @@
 /// Returns whether the machine needs commands, a fencing token or a check that should not wait for its next
 /// heartbeat.
 bool Fleet::needs_push(const Machine& machine) {
-  if (!machine.reconciled || machine.acknowledgements.any_evidence()) return true;
+  if (!machine.reconciled || machine.acknowledgements.has_evidence()) return true;
   return std::any_of(machine.tasks.begin(), machine.tasks.end(), [](const auto& entry) {
     const Placement& placement = entry.second;
-    if (placement.wanted) return placement.seen == Placement::Seen::no && placement.start.unsent();
-    return placement.takes_resources() && placement.seen != Placement::Seen::no &&
+    if (placement.wanted)
+      return placement.reported_state == Placement::ReportedState::no &&
+             placement.start.cannot_have_started();
+    return placement.takes_resources() && placement.reported_state != Placement::ReportedState::no &&
            placement.stop_requested_at == Micros{0};
   });
 }
@@ -29,12 +31,12 @@
 
 void Fleet::push_commands(Shard& shard) {
   std::vector<std::string> names;
-  std::swap(names, shard.push);
+  std::swap(names, shard.machines_to_push_to);
   for (std::string& name : names) {
     const auto found = shard.machines.find(name);
     if (found == shard.machines.end()) continue;
     if (calls_.push_limit_reached()) {
-      shard.push.push_back(std::move(name));
+      shard.machines_to_push_to.push_back(std::move(name));
       continue;
     }
     Machine& machine = found->second;
@@ -109,7 +111,7 @@
   } else if (is_trusted(shard, status) && machine.liveness.is_newer_status(status)) {
     apply_status(shard, machine, status, StatusSource::command_response);
   }
-  machine.acknowledgements.clear_missed();  // the request arrived, whether executed or refused
+  machine.acknowledgements.clear_evidence();  // the request arrived, whether executed or refused
 }
 
 }  // namespace bendtide
--- a/src/core/workers/fleet_statuses.cpp
+++ b/src/core/workers/fleet_statuses.cpp
@@ -52,7 +52,7 @@
 void Fleet::mark_up(Shard& shard, Machine& machine) {
   Liveness& liveness = machine.liveness;
   if (!liveness.status_received || liveness.lease_expired) {
-    shard.changed();
+    shard.request_scheduling_pass();
     machine.idle_since = state_.now();  // no task could be placed on it before
   }
   if (!liveness.status_received && !machine.in_use) ownership_.on_machine_up(shard, machine);
@@ -63,9 +63,9 @@
 
 void Fleet::apply_preemption_notice(const Shard& shard, Machine& machine, const Heartbeat& status) const {
   if (!status.preemption_notice) return;
-  if (!machine.lifecycle.preemption_notice_until)
+  if (!machine.lifecycle.preemption_at)
     state_.context.info(LogMessage("preemption notice").shard(shard.name).machine(machine.name));
-  machine.lifecycle.preemption_notice_until = state_.now() + *status.preemption_notice;
+  machine.lifecycle.preemption_at = state_.now() + *status.preemption_notice;
 }
 
 /// Returns the expected effect of the last reply, and whether the status shows it: a higher fencing token,
@@ -79,7 +79,7 @@
   for (const auto& [id, placement] : machine.tasks) {
     const bool listed = placement.last_listed_in == status.sequence_number;
     if (!placement.start.was_in_reply_to(replied_heartbeat)) continue;
-    if (!listed && placement.seen != Placement::Seen::no) continue;
+    if (!listed && placement.reported_state != Placement::ReportedState::no) continue;
     effect.expected = true;
     effect.seen &= listed;
   }
@@ -89,7 +89,7 @@
 /// Records the fencing token that a status shows. A higher token proves that a message arrived, and that
 /// starts pushed under lower tokens will not be executed.
 void Fleet::apply_fencing_token(Machine& machine, FencingToken token) {
-  if (token > machine.acknowledgements.acknowledged_token()) machine.acknowledgements.clear_missed();
+  if (token > machine.acknowledgements.acknowledged_token()) machine.acknowledgements.clear_evidence();
   machine.acknowledgements.set_acknowledged_token(token);
   for (auto& [id, placement] : machine.tasks) placement.start.token_acknowledged(token);
 }
@@ -102,7 +102,7 @@
   std::vector<AttemptId> absent;
   for (const auto& [id, placement] : machine.tasks) {
     if (placement.last_listed_in == sequence_number || placement.start.push_may_take_effect()) continue;
-    const bool was_there = placement.seen != Placement::Seen::no;
+    const bool was_there = placement.reported_state != Placement::ReportedState::no;
     const bool never_took_effect = !placement.wanted && placement.start.last_reply_precedes(sequence_number);
     if (was_there || never_took_effect) absent.push_back(id);
   }
@@ -112,10 +112,10 @@
 void Fleet::check_reply_effect(Shard& shard, Machine& machine, const ReplyEffect& effect) const {
   if (!effect.expected) return;
   if (effect.seen)
-    machine.acknowledgements.clear_missed();
+    machine.acknowledgements.clear_evidence();
   else if (failures_.sent_after_delivery_of(machine.acknowledgements.reply_sent_at()))
     FailureDetector::add_missed_acknowledgement(shard, machine, Acknowledgements::kWeakEvidence);
-  machine.acknowledgements.forget_reply();
+  machine.acknowledgements.clear_reply();
 }
 
 }  // namespace bendtide
--- a/src/core/workers/task_tracker.cpp
+++ b/src/core/workers/task_tracker.cpp
@@ -12,18 +12,18 @@
 constexpr Micros kLongestRetry = seconds(30);
 constexpr int kMaxRetryDoublings = 5;
 
-Placement::Seen seen_as(TaskPhase phase) {
+Placement::ReportedState seen_as(TaskPhase phase) {
   switch (phase) {
     case TaskPhase::fetching:
-      return Placement::Seen::fetching;
+      return Placement::ReportedState::fetching;
     case TaskPhase::running:
-      return Placement::Seen::running;
+      return Placement::ReportedState::running;
     case TaskPhase::saving:
-      return Placement::Seen::saving;
+      return Placement::ReportedState::saving;
     case TaskPhase::exited:
       break;
   }
-  return Placement::Seen::ended;
+  return Placement::ReportedState::ended;
 }
 
 /// Returns whether the task is placed on this machine as this attempt.
@@ -41,12 +41,13 @@
   Placement& placement = found == machine.tasks.end() ? adopt(shard, machine, status, job) : found->second;
   placement.last_listed_in = sequence_number;
   if (!placement.of_known_job && job != nullptr)
-    shard.change(machine, id, placement, [&](Placement& changed) { shard.identify(changed, machine, job); });
-  const Placement::Seen seen = seen_as(status.phase);
-  if (seen == placement.seen) return;
-  shard.change(machine, id, placement, [&](Placement& changed) { changed.seen = seen; });
-  if (seen == Placement::Seen::running) on_running(machine, placement, job);
-  if (seen == Placement::Seen::ended) {
+    shard.change_placement(machine, id, placement,
+                           [&](Placement& changed) { shard.assign_to_job(changed, machine, job); });
+  const Placement::ReportedState seen = seen_as(status.phase);
+  if (seen == placement.reported_state) return;
+  shard.change_placement(machine, id, placement, [&](Placement& changed) { changed.reported_state = seen; });
+  if (seen == Placement::ReportedState::running) on_running(machine, placement, job);
+  if (seen == Placement::ReportedState::ended) {
     placement.cause = status.cause;
     on_attempt_ended(shard, machine, id, placement);
   }
@@ -58,7 +59,7 @@
 /// attempt is gone.
 Placement& TaskTracker::adopt(Shard& shard, Machine& machine, const TaskStatus& status, Job* job) {
   const AttemptId id{status.task, status.attempt};
-  Placement& placement = shard.place(machine, id, job);
+  Placement& placement = shard.add_placement(machine, id, job);
   placement.placed_at = state_.now();
   bool keep = false;
   if (job != nullptr && !job->ended && status.phase != TaskPhase::exited &&
@@ -66,23 +67,23 @@
     job->leave_waiting(id.task.index, {Task::State::placed, &machine, id.attempt});
     keep = status.phase != TaskPhase::saving;
   }
-  shard.change(machine, id, placement, [&](Placement& changed) { changed.wanted = keep; });
+  shard.change_placement(machine, id, placement, [&](Placement& changed) { changed.wanted = keep; });
   return placement;
 }
 
 void TaskTracker::on_running(Machine& machine, Placement& placement, const Job* job) const {
   placement.running_since = state_.now();
   if (job != nullptr && job->spec.shape == Shape::array)
-    placement.ends_at = placement.running_since + job->spec.estimate;
+    placement.ends_at = placement.running_since + job->spec.estimated_task_duration;
   if (!placement.image.empty()) machine.images.record_use(placement.image, placement.image_gb, state_.now());
 }
 
 void TaskTracker::on_attempt_ended(Shard& shard, Machine& machine, const AttemptId& id,
                                    Placement& placement) {
   const ExitCause cause = placement.cause;
-  // An ended attempt counts in no resource sum, so `wanted` may be changed without Shard::change().
+  // An ended attempt counts in no resource sum, so `wanted` may be changed without Shard::change_placement().
   const bool was_wanted = std::exchange(placement.wanted, false);
-  shard.changed();
+  shard.request_scheduling_pass();
   if (placement.start.was_pushed()) {
     // A copy of the pushed start has no effect while the worker remembers the ended attempt. The worker must
     // remember it until it acknowledges a higher fencing token. The higher token is urgent if the task must
@@ -145,7 +146,7 @@
   ++job.failures;
   job.failed_on.insert(machine.name);
   if (job.failed_on.size() > kMaxFailedMachinesPerJob) job.failed_on.erase(job.failed_on.begin());
-  if (job.suspect()) {
+  if (job.is_suspect()) {
     const Micros delay = kFirstRetry * (1 << std::min(job.failures, kMaxRetryDoublings));
     job.retry_at = state_.now() + std::min(kLongestRetry, delay);
     return;
@@ -161,7 +162,7 @@
   state_.context.info(LogMessage("machine quarantined")
                           .shard(shard.name)
                           .machine(machine.name)
-                          .why("tasks of several jobs failed on it"));
+                          .reason("tasks of several jobs failed on it"));
   for (auto& [id, job] : shard.jobs)
     if (job.failed_on.erase(machine.name) > 0) job.retry_at = Micros{0};
 }
@@ -170,8 +171,8 @@
   Job* job = shard.job_of(id.task);
   if (job != nullptr && is_current_attempt(job->tasks[id.task.index], machine, id))
     job->set_waiting(id.task.index);
-  shard.remove(machine, id);
-  shard.changed();
+  shard.remove_placement(machine, id);
+  shard.request_scheduling_pass();
   if (machine.tasks.empty()) machine.idle_since = state_.now();
 }
 
--- a/tests/late_answer_test.cpp
+++ b/tests/late_answer_test.cpp
@@ -60,7 +60,7 @@
   Job& job = t.add_job();
   job.owner = "b";
   t.shard.award_freshness.confirm(t.context.now, seconds(10));
-  t.collect([&] { t.jobs.on_malformed(1, kTask.job, "malformed repetition"); });
+  t.collect([&] { t.jobs.on_invalid_submission(1, kTask.job, "malformed repetition"); });
   StoreResponse absent;
   absent.outcome = Outcome::absent;
   t.answer(0, absent);
@@ -152,11 +152,11 @@
     JobsFixture t;
     Job& job = t.add_job();
     t.at<LogLine>(100.5, [&] { t.fleet.on_heartbeat(1, t.heartbeat(10, 1, 4, false)); });
-    t.shard.place(t.machine(), {kTask, 7}, &job);
+    t.shard.add_placement(t.machine(), {kTask, 7}, &job);
     job.leave_waiting(0, {Task::State::placed, &t.machine(), 7});
     const std::string state = what;
     if (state == "final write in flight") job.finalizing = true;
-    if (state == "ended") t.shard.end(job);
+    if (state == "ended") t.shard.mark_ended(job);
     if (state == "awarded, and the award is stale") {
       job.owner = "b";
       t.shard.award_freshness.confirm(seconds(91), seconds(10));
--- a/tests/machine_test.cpp
+++ b/tests/machine_test.cpp
@@ -76,7 +76,7 @@
       t.fleet.on_heartbeat(sequence_number, t.heartbeat(5, 1, sequence_number, false));
     t.fleet.tick();
   });
-  EXPECT_EQ(t.machine().acknowledgements.missed(), 0);
+  EXPECT_EQ(t.machine().acknowledgements.evidence_weight(), 0);
   EXPECT_FALSE(t.machine().lifecycle.decommissioned);
 }
 
@@ -87,11 +87,11 @@
     HeldShard t;
     Job& job = t.add_job();
     t.at<LogLine>(100.5, [&] { t.fleet.on_heartbeat(1, t.heartbeat(10, 1, 4, false)); });
-    t.shard.place(t.machine(), {kTask, 7}, &job);
+    t.shard.add_placement(t.machine(), {kTask, 7}, &job);
     job.leave_waiting(0, {Task::State::placed, &t.machine(), 7});
     t.at<LogLine>(101, [&] { t.fleet.on_heartbeat(2, t.heartbeat(10, 1, 5, false)); });
     t.at<LogLine>(next_heartbeat_at, [&] { t.fleet.on_heartbeat(3, t.heartbeat(10, 1, 6, false)); });
-    EXPECT_EQ(t.machine().acknowledgements.missed(), evidence)
+    EXPECT_EQ(t.machine().acknowledgements.evidence_weight(), evidence)
         << "next heartbeat at " << next_heartbeat_at << " s";
   }
 }
@@ -112,7 +112,7 @@
       t.fleet.on_heartbeat(call, t.heartbeat(10, 1, static_cast<std::uint64_t>(moment), false));
       t.fleet.push_commands(t.shard);
     });
-    EXPECT_EQ(t.machine().acknowledgements.missed(), evidence) << "at " << moment << " s";
+    EXPECT_EQ(t.machine().acknowledgements.evidence_weight(), evidence) << "at " << moment << " s";
     ASSERT_EQ(calls.size(), 1u) << "at " << moment << " s";
     call = calls[0].call;
   }
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -37,24 +37,24 @@
                 std::uint32_t tasks) {
     records::LiveJob record;
     record.shard = "a";
-    record.accepted = context.wall;
+    record.accepted_at = context.wall;
     record.spec.id = id;
     record.spec.team = team;
     record.spec.job_class = team;
     record.spec.shape = shape;
     record.spec.priority = priority;
     record.spec.tasks = tasks;
-    record.spec.each = {4000, 0, 1000};
+    record.spec.task_resources = {4000, 0, 1000};
     record.spec.image = "image";
     record.spec.image_gb = 2;
-    record.spec.estimate = seconds(60);
+    record.spec.estimated_task_duration = seconds(60);
     record.spec.spot = true;
     return Jobs::load(shard, record);
   }
   /// Runs one tick of the autoscaler, with no peer that has capacity for any job, and returns the creation
   /// calls that it makes.
   std::vector<CreateMachines> tick_autoscaler() {
-    for (auto& [id, job] : shard.jobs) job.refused = true;
+    for (auto& [id, job] : shard.jobs) job.needs_machines = true;
     std::vector<CreateMachines> out;
     for (const CloudCall& call : at<CloudCall>(in_seconds(context.now) + 1, [&] { autoscaler.tick(); }))
       if (auto* creation = std::get_if<CreateMachines>(&call.request)) out.push_back(*creation);
@@ -62,8 +62,8 @@
   }
   /// Runs one scheduling pass.
   void run_scheduling_pass() {
-    shard.changed();
-    scheduler.pass(shard);
+    shard.request_scheduling_pass();
+    scheduler.run_pass(shard);
   }
 };
 
@@ -75,7 +75,7 @@
     Machine& busy = test.add_machine("busy");
     Job& batch = test.load_job("run-1", "t", Shape::array, Priority::normal, 2);
     test.run_scheduling_pass();
-    ASSERT_EQ(batch.present, 2u);
+    ASSERT_EQ(batch.placement_count, 2u);
     if (!cached) busy.images.clear();
     Machine& empty = test.add_machine("empty");
     test.load_job("run-2", "t", Shape::service, Priority::production, 1);
@@ -118,7 +118,7 @@
 
 TEST(BestEffort, GetsOneOnDemandMachineIfFirstTaskIsOverdue) {
   ScalingShard test;
-  test.load_job("run-1", "guests", Shape::array, Priority::low, 40).accepted =
+  test.load_job("run-1", "guests", Shape::array, Priority::low, 40).accepted_at =
       test.context.wall - seconds(121);
   test.autoscaler.on_capacity_exhausted({"small", "z", true});
   test.run_scheduling_pass();
@@ -131,10 +131,10 @@
   ScalingShard test;
   Machine& machine = test.add_machine("m");
   Job& guest = test.load_job("run-1", "guests", Shape::array, Priority::low, 1);
-  guest.accepted = test.context.wall - seconds(500);
+  guest.accepted_at = test.context.wall - seconds(500);
   test.run_scheduling_pass();
-  ASSERT_EQ(guest.present, 1u);
-  machine.needed_at = test.context.now;
+  ASSERT_EQ(guest.placement_count, 1u);
+  machine.last_needed_at = test.context.now;
   test.tick_autoscaler();
   EXPECT_TRUE(machine.tasks.begin()->second.wanted) << "other tasks may still need the machine";
   test.context.now += seconds(30);
--- a/tests/recorded_bytes_test.cpp
+++ b/tests/recorded_bytes_test.cpp
@@ -173,7 +173,7 @@
 
   void step() {
     now_ += millis(20);
-    controller_.at(now_, now_ + seconds(1'000'000));
+    controller_.set_clocks(now_, now_ + seconds(1'000'000));
     controller_.tick();
     perform_all();
   }
@@ -209,7 +209,7 @@
   }
 
   /// The values of one field in all entries of an administrators' overview.
-  std::set<std::string> listed(AdminRequest::What what, const char* field) {
+  std::set<std::string> listed(AdminRequest::Kind what, const char* field) {
     controller_.on_admin(++requests_, {what, {}});
     perform_all();
     std::set<std::string> out;
@@ -263,7 +263,7 @@
 }
 
 TEST_F(ShardTakeover, LoadsEveryLiveJob) {
-  const std::set<std::string> jobs = listed(AdminRequest::What::jobs, "job");
+  const std::set<std::string> jobs = listed(AdminRequest::Kind::jobs, "job");
   for (const json& entry : recorded_rows("live/")) EXPECT_TRUE(jobs.contains(job_of(entry))) << job_of(entry);
 }
 
@@ -287,7 +287,7 @@
 }
 
 TEST_F(ShardTakeover, LoadsEveryOwnedMachine) {
-  const std::set<std::string> machines = listed(AdminRequest::What::machines, "machine");
+  const std::set<std::string> machines = listed(AdminRequest::Kind::machines, "machine");
   for (const json& entry : recorded_rows("claim/")) {
     if (!entry.at("value").is_array()) continue;
     for (const json& machine : entry.at("value"))
--- a/tests/recorded_cases.cpp
+++ b/tests/recorded_cases.cpp
@@ -72,7 +72,7 @@
                std::vector<bool>{false, false, false, true, true, false, true, true, true, true, true, true,
                                  false, true, false, true}}}),
       record("done several chunks", 5,
-             {done_chunk("run-1", 0, kChunk, 1), done_chunk("run-1", 1, kChunk, 5),
+             {done_chunk("run-1", 0, kTasksPerChunk, 1), done_chunk("run-1", 1, kTasksPerChunk, 5),
               done_chunk("run-1", 24, 1696, 2)}),
       record("done of several jobs", 6, {done_chunk("run-1", 0, 12, 2), done_chunk("run-23", 3, 9, 4)}),
   };
@@ -116,7 +116,8 @@
 }
 
 std::optional<std::string> round_trip_owned_machines(const std::string& key, const Value& value) {
-  if (records::split_key(key).at(1) != records::kHomeShards) return serialize(records::owned_machines(value));
+  if (records::split_key(key).at(1) != records::kHomeShardSegment)
+    return serialize(records::read_owned_machines(value));
   if (!value.is_string()) return std::nullopt;
   return Value(value.get<std::string>()).dump();
 }
@@ -146,7 +147,7 @@
   call.job = "run-1";
   call.team = "blue";
   call.tasks = 100'000;
-  call.each = {2500, 1000, 64'000'000};
+  call.task_resources = {2500, 1000, 64'000'000};
   call.types = {"small", "large"};
   call.zone = "east";
   call.spot = true;
@@ -156,10 +157,10 @@
   call.id = UINT64_MAX;
   call.round = 3;
   call.disclosed = true;
-  call.each = {kMax64, kMin64, 0};
+  call.task_resources = {kMax64, kMin64, 0};
   for (const auto& [name, priority] : priorities()) {
     call.priority = priority;
-    call.deadline_in = call.deadline_in == Micros{0} ? seconds(-3) : Micros{kMax64};
+    call.time_to_deadline = call.time_to_deadline == Micros{0} ? seconds(-3) : Micros{kMax64};
     out.emplace_back("call disclosed " + name, call);
   }
   out.emplace_back("proposal", Proposal{9, 3, "node-1", 12, seconds(2), 730, 4711, {8000, 0}});
@@ -227,14 +228,14 @@
 std::optional<std::string> round_trip_record(const std::string& key, const std::string& value) {
   const Value v = Value::parse(value);
   const std::string kind = records::split_key(key).front();
-  if (kind == "hold") return serialize(records::lease_record(v));
-  if (kind == "room") return serialize(records::quota_allocation(v));
-  if (kind == "job") return serialize(records::final_job(v));
-  if (kind == "live") return serialize(records::live_job(v));
-  if (kind == "award") return serialize(records::award(v));
-  if (kind == "done") return serialize(records::done(v));
+  if (kind == "hold") return serialize(records::read_lease_record(v));
+  if (kind == "room") return serialize(records::read_quota_allocation(v));
+  if (kind == "job") return serialize(records::read_final_job(v));
+  if (kind == "live") return serialize(records::read_live_job(v));
+  if (kind == "award") return serialize(records::read_award(v));
+  if (kind == "done") return serialize(records::read_done_bits(v));
   if (kind == "claim") return round_trip_owned_machines(key, v);
-  if (kind == "catalogue") return serialize(records::catalogue(v));
+  if (kind == "catalogue") return serialize(records::read_catalogue(v));
   if (kind == "policy") return round_trip_policy(v);
   return std::nullopt;
 }
--- a/tests/sim/checker.cpp
+++ b/tests/sim/checker.cpp
@@ -107,7 +107,7 @@
   if (!job.first_start_at) job.first_start_at = now;
   job.placements.emplace(task.index, Placement{machine, zone});
   Quota& used = used_[spec.team];
-  used += quota_of(spec.each);
+  used += quota_of(spec.task_resources);
   const Team* team = settings_.team(spec.team);
   if (team == nullptr || !used.fits_in(team->limit))
     add_violation("quota", "team " + spec.team + " exceeds its limit with " + description);
@@ -120,7 +120,7 @@
       std::find_if(begin, end, [&](const auto& entry) { return entry.second.machine == machine; });
   if (placement == end) return;
   job.placements.erase(placement);
-  used_[job.spec.team] -= quota_of(job.spec.each);
+  used_[job.spec.team] -= quota_of(job.spec.task_resources);
 }
 
 // ---- queries ------------------------------------------------------------------------------------
--- a/tests/sim/jobs_fixture.h
+++ b/tests/sim/jobs_fixture.h
@@ -20,14 +20,14 @@
   /// Adds a peer that is reachable now.
   void add_peer(const std::string& host) {
     context.settings.peers.push_back({host, "z", host + ":1"});
-    state.peers[host].heard_at = context.now;
+    state.peers[host].last_health_at = context.now;
   }
   static JobSpec spec() {
     JobSpec out;
     out.id = kTask.job;
     out.team = "t";
     out.tasks = 1;
-    out.each = {1000, 0, 1};
+    out.task_resources = {1000, 0, 1};
     return out;
   }
   /// Calls `event`, and collects the resulting calls, queries and replies.
--- a/tests/sim/simulated_cluster.cpp
+++ b/tests/sim/simulated_cluster.cpp
@@ -65,9 +65,9 @@
 }
 
 void SimulatedCluster::send_admin_requests() {
-  using What = AdminRequest::What;
+  using Kind = AdminRequest::Kind;
   for (auto& host : controllers_.hosts())
-    for (const What page : {What::policy, What::shards, What::machines, What::jobs, What::negotiations})
+    for (const Kind page : {Kind::policy, Kind::shards, Kind::machines, Kind::jobs, Kind::negotiations})
       controllers_.deliver_admin_request(*host, {page, {}});
   environment_.simulation.after(kAdminRequestInterval, [this] { send_admin_requests(); });
 }
@@ -86,7 +86,8 @@
   for (const auto& host : controllers_.hosts())
     for (const auto& [name, shard] : host->core->state().shards)
       for (const auto& [id, job] : shard.jobs)
-        if (job.overflow > 0 && !job.refused && !job.quota_share_exhausted) ids.insert(id);
+        if (job.tasks_without_capacity > 0 && !job.needs_machines && !job.quota_share_exhausted)
+          ids.insert(id);
   return ids;
 }
 
--- a/tests/sim/simulated_key_value_store.cpp
+++ b/tests/sim/simulated_key_value_store.cpp
@@ -54,7 +54,7 @@
 Response SimulatedKeyValueStore::handle(const wire::HttpRequest& request, Micros now) {
   expire_leases(now);
   if (outage_) return {503, "{}"};
-  if (!request_bucket_.take(now)) {
+  if (!request_bucket_.try_take(now)) {
     ++rate_limited_;
     return {429, "{}"};
   }
@@ -115,7 +115,7 @@
     ++too_large_;
     return {400, "{}"};
   }
-  if (!write_bucket_.take(now, static_cast<double>(writes.size()))) {
+  if (!write_bucket_.try_take(now, static_cast<double>(writes.size()))) {
     ++rate_limited_;
     return {429, "{}"};
   }
--- a/tests/sim/simulated_users.cpp
+++ b/tests/sim/simulated_users.cpp
@@ -197,13 +197,15 @@
   User& user = *environment_.simulation.pick_from(users_);
   if (!user.accepted) return;
   const Micros sent_at = environment_.simulation.now();
-  send([id = user.job.id](Controller& core,
-                          std::uint64_t request) { core.on_malformed(request, id, "crew: missing"); },
-       [this, &user, sent_at](const UserReply* reply) {
-         if (reply != nullptr)
-           environment_.checker.answered(user.job.id, reply->status, reply->phase, sent_at,
-                                         environment_.simulation.now());
-       });
+  send(
+      [id = user.job.id](Controller& core, std::uint64_t request) {
+        core.on_invalid_submission(request, id, "crew: missing");
+      },
+      [this, &user, sent_at](const UserReply* reply) {
+        if (reply != nullptr)
+          environment_.checker.answered(user.job.id, reply->status, reply->phase, sent_at,
+                                        environment_.simulation.now());
+      });
 }
 
 void SimulatedUsers::submit_invalid() {
--- a/tests/sim/simulated_worker.cpp
+++ b/tests/sim/simulated_worker.cpp
@@ -29,7 +29,7 @@
 Resources SimulatedWorker::free() const {
   Resources left = type_.size;
   for (const auto& [key, task] : tasks_)
-    if (task.phase != TaskPhase::exited) left -= hooks_.job(key.first.job)->each;
+    if (task.phase != TaskPhase::exited) left -= hooks_.job(key.first.job)->task_resources;
   return left;
 }
 
@@ -188,11 +188,11 @@
   bool already_present = false;
   for (const auto& [key, other] : tasks_) {
     if (other.phase == TaskPhase::exited) continue;
-    used += hooks_.job(key.first.job)->each;
+    used += hooks_.job(key.first.job)->task_resources;
     already_present |= key.first == task;
   }
   if (already_present) return {TaskPhase::exited, ExitCause::busy, now};
-  if (!(used + job->each).fits_in(type_.size))
+  if (!(used + job->task_resources).fits_in(type_.size))
     return {TaskPhase::exited, ExitCause::insufficient_resources, now};
   const bool cached = cached_images_.contains(job->image);
   const Micros fetch_time = cached ? Micros{0} : seconds(job->image_gb / type_.fetch_gb_per_s);
@@ -201,10 +201,11 @@
 
 void SimulatedWorker::execute_stop(const Key& key, LocalTask& task, Micros grace, Micros now) {
   const JobSpec* job = hooks_.job(key.first.job);
-  const bool can_save = task.phase == TaskPhase::running && job->checkpoint.count() > 0 && grace >= job->save;
+  const bool can_save =
+      task.phase == TaskPhase::running && job->checkpoint_interval.count() > 0 && grace >= job->save_duration;
   if (can_save) {
     task.phase = TaskPhase::saving;
-    task.phase_ends_at = now + job->save;
+    task.phase_ends_at = now + job->save_duration;
   } else if (task.phase != TaskPhase::saving || grace == Micros{0}) {
     report_task_end(key, task);
     task = {TaskPhase::exited, ExitCause::stopped, now};
--- a/tests/size_test.cpp
+++ b/tests/size_test.cpp
@@ -83,10 +83,10 @@
     spec.team = "team";
     spec.job_class = "class";
     spec.tasks = tasks;
-    spec.each = {2000, 0, 4000};
+    spec.task_resources = {2000, 0, 4000};
     spec.image = "image";
     spec.image_gb = 1;
-    spec.estimate = seconds(1000);
+    spec.estimated_task_duration = seconds(1000);
     const std::uint64_t request = ++request_number_;
     deliver_event([&] { core_->on_submit(request, spec); });
   }
@@ -119,7 +119,7 @@
   /// Returns the HTTP status of the reply to a poll that arrives just before the process pauses for `pause`.
   int poll_status_after_pause(Micros pause, int number) {
     const std::string id = "run-" + std::to_string(100000 + number);
-    core_->at(now_, now_ + seconds(1'000'000));
+    core_->set_clocks(now_, now_ + seconds(1'000'000));
     core_->on_poll(++request_number_, id);
     int status = 0;
     for (const Action& action : core_->take_actions(now_ + pause))
@@ -162,7 +162,7 @@
   /// Delivers one event to the core, and performs the resulting actions until there are none.
   template <class F>
   void deliver_event(F&& f) {
-    core_->at(now_, now_ + seconds(1'000'000));
+    core_->set_clocks(now_, now_ + seconds(1'000'000));
     f();
     for (auto actions = core_->take_actions(now_); !actions.empty(); actions = core_->take_actions(now_))
       for (Action& action : actions) perform(action);
