--- a/tests/sim/checker.h
+++ b/tests/sim/checker.h
@@ -42,7 +42,7 @@
   /// A task counts as running on its machine as soon as its image is there.
   void task_started(const TaskId& task, const std::string& machine, const std::string& type,
                     const std::string& zone, bool spot, Micros now);
-  /// A task ended, or its machine failed.
+  /// A task no longer runs on its machine, for whatever reason.
   void task_ended(const TaskId& task, const std::string& machine);
   /// A task exited successfully.
   void completed(const TaskId& task) { jobs_[task.job].completed.insert(task.index); }
--- a/tests/sim/fault_scenario.h
+++ b/tests/sim/fault_scenario.h
@@ -100,7 +100,7 @@
   /// resubmits the job and maybe cancels it.
   bool impatient_users = false;
   bool zone_bound = false;        ///< every array has a constraint on zones
-  bool long_tasks = false;        ///< of one or two minutes, in arrays of at least a few tasks
+  bool long_tasks = false;        ///< estimated at 30 to 80 s, in arrays of 2 to 9 tasks
   bool invalid_requests = false;  ///< users also submit jobs that can never run
   bool operators_poll = false;    ///< operators regularly read every page of the administration API
 
