--- a/lab/soak.cpp
+++ b/lab/soak.cpp
@@ -78,7 +78,7 @@
 
 SoakResult Soak::collect_result() {
   SoakResult result;
-  lab_.checker.finish();
+  lab_.checker.check_at_end();
   for (const auto& [rule, cases] : lab_.checker.violations()) {
     result.violated_rules.push_back(rule);
     for (const std::string& description : cases) result.violations.push_back(with_prefix(rule, description));
--- a/lab/user_crowd.cpp
+++ b/lab/user_crowd.cpp
@@ -47,7 +47,7 @@
     User& user = *users_.back();
     user.spec = draw_spec();
     lab_.job_specs[user.spec.id] = user.spec;
-    lab_.checker.submitted(user.spec);
+    lab_.checker.job_submitted(user.spec);
     lab_.loop.spawn(run_user(user));
     co_await lab_.loop.sleep(lab_.random_duration(0, 2 / lab_.plan.jobs_per_second));
   }
@@ -104,7 +104,7 @@
     const Response response = co_await send(std::move(request));
     if (response.status == 200 || response.status == 201) {
       user.accepted = true;
-      lab_.checker.accepted(user.spec.id, lab_.now());
+      lab_.checker.job_accepted(user.spec.id, lab_.now());
       record_response(user, response, sent_at);
       co_return true;
     }
@@ -145,7 +145,7 @@
 io::Task<> UserCrowd::cancel(User& user, Micros delay) {
   if (std::exchange(user.cancelling, true)) co_return;
   co_await lab_.loop.sleep(delay);
-  lab_.checker.cancel_requested(user.spec.id);
+  lab_.checker.cancellation_requested(user.spec.id);
   while (!lab_.closing) {
     const Micros sent_at = lab_.now();
     Request request{
@@ -182,7 +182,7 @@
   const Response received = co_await send(std::move(request));
   const Response response = with_planted_defect(user, received);
   if (is_failure(response)) {
-    lab_.checker.unanswered(user.spec.id, lab_.now());
+    lab_.checker.poll_unanswered(user.spec.id, lab_.now());
     co_return;
   }
   record_response(user, response, sent_at);
@@ -190,7 +190,7 @@
 
 void UserCrowd::record_response(User& user, const Response& response, Micros sent_at) {
   if (is_failure(response)) return;
-  lab_.checker.answered(user.spec.id, response.status, response.phase, sent_at, lab_.now());
+  lab_.checker.reply_received(user.spec.id, response.status, response.phase, sent_at, lab_.now());
   if (response.status != 200) return;
   user.last_seen_phase = response.phase;
   user.saw_final_phase |= is_final(response.phase);
@@ -204,7 +204,7 @@
     Response response = co_await send(std::move(request));
     if (lab_.plan.planted_defect == PlantedDefect::invent_jobs && response.status == 404)
       response.status = 200;
-    lab_.checker.answered(kUnknownJob, response.status, response.phase, sent_at, lab_.now());
+    lab_.checker.reply_received(kUnknownJob, response.status, response.phase, sent_at, lab_.now());
   }
 }
 
--- a/tests/sim/checker.cpp
+++ b/tests/sim/checker.cpp
@@ -21,12 +21,12 @@
 
 // ---- requests of users and the replies to them -----------------------------------------------------
 
-void Checker::accepted(const std::string& id, Micros now) {
+void Checker::job_accepted(const std::string& id, Micros now) {
   Job& job = jobs_[id];
   if (!job.accepted_at) job.accepted_at = now;
 }
 
-void Checker::answered(const std::string& id, int status, JobPhase phase, Micros sent_at, Micros now) {
+void Checker::reply_received(const std::string& id, int status, JobPhase phase, Micros sent_at, Micros now) {
   const bool confirmed = status == 200 || status == 201;
   if (invalid_jobs_.contains(id)) {
     if (confirmed) add_violation("accepted_unfit", id + ": accepted, but can never run");
@@ -55,7 +55,7 @@
   if (is_final(phase) && !job.final_reply) job.final_reply = FinalReply{phase, now};
 }
 
-void Checker::unanswered(const std::string& id, Micros now) {
+void Checker::poll_unanswered(const std::string& id, Micros now) {
   const auto found = jobs_.find(id);
   if (found == jobs_.end() || !found->second.accepted_at) return;
   Job& job = found->second;
@@ -180,7 +180,7 @@
   if (job.is_served()) ++served;
 }
 
-void Checker::finish() {
+void Checker::check_at_end() {
   if (task_starts_ == 0) add_violation("nothing_ran", "no task was started");
   ServedCounts counts;
   std::map<std::string, std::vector<const Job*>> classes;
--- a/tests/sim/checker.h
+++ b/tests/sim/checker.h
@@ -20,16 +20,16 @@
 
   // ---- requests of users and the replies to them ----
   /// A user submitted a valid job.
-  void submitted(const JobSpec& spec) { jobs_[spec.id].spec = spec; }
+  void job_submitted(const JobSpec& spec) { jobs_[spec.id].spec = spec; }
   /// A user submitted a job that can never run; no reply may confirm it.
-  void submitted_invalid(const std::string& id) { invalid_jobs_.insert(id); }
+  void invalid_job_submitted(const std::string& id) { invalid_jobs_.insert(id); }
   /// A user received the reply that the job is accepted.
-  void accepted(const std::string& id, Micros now);
-  void cancel_requested(const std::string& id) { jobs_[id].cancel_requested = true; }
+  void job_accepted(const std::string& id, Micros now);
+  void cancellation_requested(const std::string& id) { jobs_[id].cancel_requested = true; }
   /// A user received the reply to a poll, a repeated submission or a cancellation that was sent at `sent_at`.
-  void answered(const std::string& id, int status, JobPhase phase, Micros sent_at, Micros now);
+  void reply_received(const std::string& id, int status, JobPhase phase, Micros sent_at, Micros now);
   /// A poll timed out, or its reply did not tell the phase of the job.
-  void unanswered(const std::string& id, Micros now);
+  void poll_unanswered(const std::string& id, Micros now);
 
   // ---- commands of controllers ----
   /// A controller sent a start command, which a machine may execute later. Returns whether a user had already
@@ -45,12 +45,12 @@
   /// A task no longer runs on its machine, for whatever reason.
   void task_ended(const TaskId& task, const std::string& machine);
   /// A task exited successfully.
-  void completed(const TaskId& task) { jobs_[task.job].completed.insert(task.index); }
+  void task_completed(const TaskId& task) { jobs_[task.job].completed.insert(task.index); }
 
   // ---- queries ----
   bool is_completed(const TaskId& task) const;
   /// Number of completed tasks.
-  std::size_t completed_tasks(const std::string& id) const { return jobs_.at(id).completed.size(); }
+  std::size_t completed_task_count(const std::string& id) const { return jobs_.at(id).completed.size(); }
   /// The zones of the tasks of the job that are on machines, one entry for each task.
   std::vector<std::string> zones_of(const std::string& id) const;
   /// Whether the job is accepted, neither finished nor cancelled, and has tasks that are neither completed
@@ -74,7 +74,7 @@
   /// machine.
   void check_cancelled_jobs(Micros now);
   /// To be called at the end of the run. Checks that enough jobs of each team and each class were served.
-  void finish();
+  void check_at_end();
 
   const std::map<std::string, std::vector<std::string>>& violations() const { return violations_; }
   /// One line with the number of cases and the first case of each violated rule; empty if no rule is
--- a/tests/sim/simulated_cluster.cpp
+++ b/tests/sim/simulated_cluster.cpp
@@ -40,7 +40,7 @@
   simulation.after(kNeglectCheckStart, [this] { neglect_check_.repeat(); });
   fault_injector_.start();
   simulation.run_until(scenario.end);
-  environment_.checker.finish();
+  environment_.checker.check_at_end();
   if (scenario.verbose) print_states();
 }
 
--- a/tests/sim/simulated_users.cpp
+++ b/tests/sim/simulated_users.cpp
@@ -20,7 +20,7 @@
 void SimulatedUsers::start() {
   for (auto& user : users_)
     environment_.simulation.at(user->submit_at, [this, user = user.get()] {
-      environment_.checker.submitted(user->job);
+      environment_.checker.job_submitted(user->job);
       submit(*user, environment_.simulation.now());
     });
 }
@@ -58,8 +58,8 @@
 void SimulatedUsers::on_accepted(User& user, const UserReply& reply, Micros sent_at) {
   Simulation& simulation = environment_.simulation;
   const Micros now = simulation.now();
-  environment_.checker.accepted(user.job.id, now);
-  environment_.checker.answered(user.job.id, reply.status, reply.phase, sent_at, now);
+  environment_.checker.job_accepted(user.job.id, now);
+  environment_.checker.reply_received(user.job.id, reply.status, reply.phase, sent_at, now);
   user.accepted = true;
   simulation.after(seconds(4 + simulation.chance()), [this, &user] { poll(user); });
   if (environment_.scenario.impatient_users) act_on_acceptance(user);
@@ -87,8 +87,8 @@
         *host, [id = user.job.id](Controller& core, std::uint64_t request) { core.on_poll(request, id); },
         [this, &user, sent_at](const UserReply* reply) {
           if (reply != nullptr && reply->status != 503)
-            environment_.checker.answered(user.job.id, reply->status, reply->phase, sent_at,
-                                          environment_.simulation.now());
+            environment_.checker.reply_received(user.job.id, reply->status, reply->phase, sent_at,
+                                                environment_.simulation.now());
         });
   }
 }
@@ -101,7 +101,7 @@
          const bool ignored =
              environment_.defects.ignores_polls_for_one_job() && &user == users_.front().get();
          if (reply == nullptr || reply->status == 503 || ignored)
-           environment_.checker.unanswered(user.job.id, simulation.now());
+           environment_.checker.poll_unanswered(user.job.id, simulation.now());
          else
            on_poll_answered(user, *reply, sent_at);
          const Micros pause = user.answered_final ? seconds(25 + simulation.chance() * 30) : kPollInterval;
@@ -111,7 +111,8 @@
 
 void SimulatedUsers::on_poll_answered(User& user, const UserReply& reply, Micros sent_at) {
   const UserReply seen = environment_.defects.poll_reply(reply, user.last_phase);
-  environment_.checker.answered(user.job.id, seen.status, seen.phase, sent_at, environment_.simulation.now());
+  environment_.checker.reply_received(user.job.id, seen.status, seen.phase, sent_at,
+                                      environment_.simulation.now());
   user.last_phase = seen.phase;
   user.answered_final |= is_final(seen.phase);
 }
@@ -120,13 +121,14 @@
 
 void SimulatedUsers::cancel(User& user) {
   user.cancelling = true;
-  environment_.checker.cancel_requested(user.job.id);
+  environment_.checker.cancellation_requested(user.job.id);
   const Micros sent_at = environment_.simulation.now();
   send([id = user.job.id](Controller& core, std::uint64_t request) { core.on_cancel(request, id); },
        [this, &user, sent_at](const UserReply* reply) {
          Simulation& simulation = environment_.simulation;
          if (reply != nullptr)
-           environment_.checker.answered(user.job.id, reply->status, reply->phase, sent_at, simulation.now());
+           environment_.checker.reply_received(user.job.id, reply->status, reply->phase, sent_at,
+                                               simulation.now());
          if (reply != nullptr && reply->status == 200)
            on_cancelled(user, *reply);
          else
@@ -162,7 +164,7 @@
   if (simulation.now() >= environment_.faults.job_ends_raced_until) return;
   for (auto& user : users_) {
     const bool chosen = user->accepted && !user->acted_on_job_end && !user->answered_final &&
-                        environment_.checker.completed_tasks(user->job.id) >= user->job.tasks;
+                        environment_.checker.completed_task_count(user->job.id) >= user->job.tasks;
     if (!chosen) continue;
     user->acted_on_job_end = true;
     environment_.evidence.add(Evidence::job_end_raced);
@@ -189,7 +191,7 @@
        [this](const UserReply* reply) {
          const Micros now = environment_.simulation.now();
          const int status = reply == nullptr ? 503 : environment_.defects.unknown_job_status(reply->status);
-         environment_.checker.answered(kUnknownJob, status, JobPhase::pending, now, now);
+         environment_.checker.reply_received(kUnknownJob, status, JobPhase::pending, now, now);
        });
 }
 
@@ -203,8 +205,8 @@
       },
       [this, &user, sent_at](const UserReply* reply) {
         if (reply != nullptr)
-          environment_.checker.answered(user.job.id, reply->status, reply->phase, sent_at,
-                                        environment_.simulation.now());
+          environment_.checker.reply_received(user.job.id, reply->status, reply->phase, sent_at,
+                                              environment_.simulation.now());
       });
 }
 
@@ -215,13 +217,13 @@
     job.team = "nobody";
   else
     job.types = {"nothing"};
-  environment_.checker.submitted_invalid(job.id);
+  environment_.checker.invalid_job_submitted(job.id);
   send([job](Controller& core, std::uint64_t request) { core.on_submit(request, job); },
        [this](const UserReply* reply) {
          if (reply == nullptr) return;
          const Micros now = environment_.simulation.now();
          const int status = environment_.defects.invalid_submission_status(reply->status);
-         environment_.checker.answered(kInvalidJob, status, JobPhase::pending, now, now);
+         environment_.checker.reply_received(kInvalidJob, status, JobPhase::pending, now, now);
        });
 }
 
--- a/tests/sim/simulated_worker.cpp
+++ b/tests/sim/simulated_worker.cpp
@@ -67,7 +67,7 @@
   if (task.phase == TaskPhase::fetching) return begin_running(key, task, now);
   hooks_.checker->task_ended(key.first, machine_.name);
   const bool done = task.phase == TaskPhase::running;
-  if (done) hooks_.checker->completed(key.first);
+  if (done) hooks_.checker->task_completed(key.first);
   task = {TaskPhase::exited, done ? ExitCause::done : ExitCause::stopped, now};
 }
 
