--- a/tests/decision_digest_main.cpp
+++ b/tests/decision_digest_main.cpp
@@ -36,7 +36,7 @@
       {"tight limits",
        [](FaultScenario& scenario) {
          scenario.tight_limits = true;
-         scenario.invalid_requests = true;
+         scenario.users_submit_invalid_jobs = true;
        }},
       {"zone-bound long tasks",
        [](FaultScenario& scenario) {
--- a/tests/late_answer_test.cpp
+++ b/tests/late_answer_test.cpp
@@ -192,7 +192,7 @@
   scenario.jobs = 300;
   scenario.end = seconds(420);
   scenario.impatient_users = true;
-  scenario.invalid_requests = true;
+  scenario.users_submit_invalid_jobs = true;
   scenario.verbose = std::getenv("SIMULATION_VERBOSE") != nullptr;
   scenario.faults = {{.at = seconds(5), .kind = late_store_responses, .duration = seconds(140)},
                      {.at = seconds(15), .kind = store_unreachable, .duration = seconds(25), .controller = 0},
--- a/tests/scheduled_faults_test.cpp
+++ b/tests/scheduled_faults_test.cpp
@@ -281,7 +281,7 @@
   FaultScenario scenario;
   scenario.seed = 3000 + seed;
   scenario.faults = named.faults;
-  scenario.invalid_requests = true;
+  scenario.users_submit_invalid_jobs = true;
   scenario.jobs = 30;
   scenario.end = seconds(420);
   scenario.verbose = std::getenv("SIMULATION_VERBOSE") != nullptr;
--- a/tests/sim/fault_injector.cpp
+++ b/tests/sim/fault_injector.cpp
@@ -81,7 +81,7 @@
   // Kinds that were added later are drawn only if the scenario lists them, so that the seeds of existing
   // tests keep producing the same faults.
   const FaultKind first_not_drawn =
-      scenario.extended ? FaultKind::late_transactions : FaultKind::controller_pauses;
+      scenario.has_extended_faults ? FaultKind::late_transactions : FaultKind::controller_pauses;
   return static_cast<FaultKind>(environment_.simulation.pick(static_cast<int>(first_not_drawn)));
 }
 
@@ -123,7 +123,7 @@
     machine.worker->fails_tasks = false;
     machine.worker->hanging = false;
     machine.worker->unreachable_outbound = false;
-    if (!environment_.scenario.unreachable_for_good) machine.worker->unreachable_inbound = false;
+    if (!environment_.scenario.machines_stay_unreachable) machine.worker->unreachable_inbound = false;
   }
   environment_.simulation.after(kSettleDelay,
                                 [this] { environment_.checker.set_settled(environment_.simulation.now()); });
--- a/tests/sim/fault_scenario.h
+++ b/tests/sim/fault_scenario.h
@@ -90,8 +90,8 @@
   std::vector<ScheduledFault> faults;  ///< if not empty, no faults are drawn at random
   /// Draws from the extended set of kinds, has a controller in each zone and duplicates store requests. False
   /// in scenarios of older tests, so that their seeds keep producing the same runs.
-  bool extended = true;
-  bool unreachable_for_good = false;  ///< machines that became unreachable inbound stay so to the end
+  bool has_extended_faults = true;
+  bool machines_stay_unreachable = false;  ///< machines that became unreachable inbound stay so to the end
 
   // Users.
   int jobs = 24;
@@ -99,10 +99,10 @@
   /// Jobs are small. As soon as a user receives the reply that a job is accepted, it polls all controllers,
   /// resubmits the job and maybe cancels it.
   bool impatient_users = false;
-  bool zone_bound = false;        ///< every array has a constraint on zones
-  bool long_tasks = false;        ///< estimated at 30 to 80 s, in arrays of 2 to 9 tasks
-  bool invalid_requests = false;  ///< users also submit jobs that can never run
-  bool operators_poll = false;    ///< operators regularly read every page of the administration API
+  bool zone_bound = false;                 ///< every array has a constraint on zones
+  bool long_tasks = false;                 ///< estimated at 30 to 80 s, in arrays of 2 to 9 tasks
+  bool users_submit_invalid_jobs = false;  ///< users also submit jobs that can never run
+  bool operators_poll = false;             ///< operators regularly read every page of the administration API
 
   // Settings.
   bool tight_limits = false;  ///< low limits, which teams reach for most of the run
--- a/tests/sim/simulated_controllers.cpp
+++ b/tests/sim/simulated_controllers.cpp
@@ -26,7 +26,7 @@
     host->name = "node-" + std::to_string(i);
     host->clock_drift = (simulation.chance() - 0.5) * kClockDriftRange;
     host->clock_offset = seconds(simulation.chance() * kClockOffsetRangeSeconds);
-    if (environment_.scenario.extended && i == 2) host->zone = "west";
+    if (environment_.scenario.has_extended_faults && i == 2) host->zone = "west";
     hosts_.push_back(std::move(host));
   }
 }
--- a/tests/sim/simulated_controllers_actions.cpp
+++ b/tests/sim/simulated_controllers_actions.cpp
@@ -88,7 +88,7 @@
 StoreResponse SimulatedControllers::serve_store(const std::string& host, const StoreRequest& request) {
   if (environment_.faults.refused_hosts.contains(host)) return wire::parse_store_response(request, 503, "{}");
   const wire::HttpRequest http = wire::request_of(request);
-  if (environment_.scenario.extended)
+  if (environment_.scenario.has_extended_faults)
     network_.duplicate_sometimes(
         [this, http] { environment_.store.handle(http, environment_.simulation.now()); });
   const Response response = environment_.store.handle(http, environment_.simulation.now());
--- a/tests/sim/simulated_users.cpp
+++ b/tests/sim/simulated_users.cpp
@@ -181,7 +181,7 @@
 void SimulatedUsers::send_unusual_requests() {
   poll_unknown_job();
   environment_.simulation.after(kUnusualRequestInterval, [this] { send_unusual_requests(); });
-  if (!environment_.scenario.invalid_requests) return;
+  if (!environment_.scenario.users_submit_invalid_jobs) return;
   resubmit_malformed();
   submit_invalid();
 }
--- a/tests/simulated_cluster_test.cpp
+++ b/tests/simulated_cluster_test.cpp
@@ -46,7 +46,7 @@
 TEST_P(RegressionScenario, RulesHoldAndAllJobsFinish) {
   FaultScenario scenario;
   scenario.seed = GetParam();
-  scenario.extended = false;
+  scenario.has_extended_faults = false;
   expect_rules_kept(scenario);
 }
 
@@ -146,7 +146,7 @@
   scenario.seed = GetParam();
   scenario.kinds = {FaultKind::machine_unreachable_inbound};
   scenario.slow_heartbeats = true;
-  scenario.unreachable_for_good = true;
+  scenario.machines_stay_unreachable = true;
   scenario.verbose = verbose();
   SimulatedCluster cluster(scenario);
   cluster.run();
@@ -184,7 +184,7 @@
   scenario.end = seconds(200);
   scenario.jobs = 60;
   scenario.planted_defect = GetParam().planted_defect;
-  scenario.invalid_requests = scenario.planted_defect == PlantedDefect::accept_unfit;
+  scenario.users_submit_invalid_jobs = scenario.planted_defect == PlantedDefect::accept_unfit;
   SimulatedCluster cluster(scenario);
   cluster.run();
   EXPECT_TRUE(cluster.checker().violations().contains(GetParam().rule)) << cluster.checker().summary();
