--- a/tests/sim/neglect_check.cpp
+++ b/tests/sim/neglect_check.cpp
@@ -2,8 +2,8 @@
 
 namespace bendtide::sim {
 
-void NeglectCheck::repeat() {
-  environment_.simulation.after(seconds(1), [this] { repeat(); });
+void NeglectCheck::run_periodically() {
+  environment_.simulation.after(seconds(1), [this] { run_periodically(); });
   if (!environment_.checker.is_settled()) return;
   for (const auto& user : users_.all())
     environment_.checker.set_runnable(user->job.id, is_runnable(*user), environment_.simulation.now());
--- a/tests/sim/neglect_check.h
+++ b/tests/sim/neglect_check.h
@@ -15,7 +15,7 @@
   /// Runs the check, and schedules it again every second. Once all faults are over, it tells the checker
   /// which jobs have a pending task although their team is below its limit and a machine has free resources
   /// for it.
-  void repeat();
+  void run_periodically();
 
  private:
   bool is_runnable(const User& user) const;
--- a/tests/sim/simulated_cluster.cpp
+++ b/tests/sim/simulated_cluster.cpp
@@ -37,7 +37,7 @@
   simulation.after(kMachineUpdateInterval, [this] { advance_machines(); });
   simulation.after(kUnusualRequestsStart, [this] { users_.send_unusual_requests(); });
   if (scenario.operators_poll) simulation.after(kAdminRequestInterval, [this] { send_admin_requests(); });
-  simulation.after(kNeglectCheckStart, [this] { neglect_check_.repeat(); });
+  simulation.after(kNeglectCheckStart, [this] { neglect_check_.run_periodically(); });
   fault_injector_.start();
   simulation.run_until(scenario.end);
   environment_.checker.check_at_end();
