--- a/tests/sim/heartbeat_exchange.cpp
+++ b/tests/sim/heartbeat_exchange.cpp
@@ -62,7 +62,7 @@
                                 const HeartbeatReply& reply) {
   const PlantedDefects& defects = environment_.defects;
   HeartbeatReply sent = reply;
-  sent.commands = defects.delivered(std::move(sent.commands));
+  sent.commands = defects.commands_to_deliver(std::move(sent.commands));
   for (Command& command : defects.added(reply.commands)) sent.commands.push_back(std::move(command));
   controllers_.record_starts(sent.commands);
   defects.start_elsewhere(reply, heartbeat.machine, machines_.cloud(), environment_.simulation.now());
--- a/tests/sim/planted_defects.cpp
+++ b/tests/sim/planted_defects.cpp
@@ -27,7 +27,7 @@
          (planted_ == PlantedDefect::starve_large && job.tasks >= kMinTasksOfLargeJob);
 }
 
-std::vector<Command> PlantedDefects::delivered(std::vector<Command> commands) const {
+std::vector<Command> PlantedDefects::commands_to_deliver(std::vector<Command> commands) const {
   std::erase_if(commands, [this](const Command& command) {
     if (command.kind == Command::Kind::stop) return planted_ == PlantedDefect::keep_cancelled;
     return command.kind == Command::Kind::start && drops_start(command);
--- a/tests/sim/planted_defects.h
+++ b/tests/sim/planted_defects.h
@@ -21,7 +21,7 @@
   /// The settings that a controller is configured with.
   Settings controller_settings(Settings settings) const;
   /// The commands that reach a worker, in a command request or with the reply to a heartbeat.
-  std::vector<Command> delivered(std::vector<Command> commands) const;
+  std::vector<Command> commands_to_deliver(std::vector<Command> commands) const;
   /// Commands to add to the reply to a heartbeat that carries `commands`; none without a defect.
   std::vector<Command> added(const std::vector<Command>& commands) const;
   /// Executes the start commands of a reply to `machine` on another machine too.
--- a/tests/sim/simulated_controllers_actions.cpp
+++ b/tests/sim/simulated_controllers_actions.cpp
@@ -114,7 +114,7 @@
   const std::string& address = action.request.address;
   const std::string machine = address.substr(0, address.find(':'));
   CommandRequest delivered = action.request;
-  delivered.commands = environment_.defects.delivered(std::move(delivered.commands));
+  delivered.commands = environment_.defects.commands_to_deliver(std::move(delivered.commands));
   call<CommandResponse>(
       {&host, host.incarnation, machine, kWorkerTimeout,
        [this, machine, body = wire::request_of(delivered).body] { return serve_commands(machine, body); },
