--- a/tests/late_answer_test.cpp
+++ b/tests/late_answer_test.cpp
@@ -151,7 +151,7 @@
        {"final write in flight", "ended", "known to have ended", "awarded, and the award is stale"}) {
     JobsFixture t;
     Job& job = t.add_job();
-    t.at<LogLine>(100.5, [&] { t.fleet.on_heartbeat(1, t.heartbeat(10, 1, 4, false)); });
+    t.call_at<LogLine>(100.5, [&] { t.fleet.on_heartbeat(1, t.heartbeat(10, 1, 4, false)); });
     t.shard.add_placement(t.machine(), {kTask, 7}, &job);
     job.leave_waiting(0, {Task::State::placed, &t.machine(), 7});
     const std::string state = what;
@@ -163,13 +163,13 @@
     }
     if (state == "known to have ended") t.state.final_states.record_final(kTask.job, {}, t.context.now);
     const auto answers =
-        t.at<AnswerHeartbeat>(102, [&] { t.fleet.on_heartbeat(2, t.heartbeat(10, 1, 5, false)); });
+        t.call_at<AnswerHeartbeat>(102, [&] { t.fleet.on_heartbeat(2, t.heartbeat(10, 1, 5, false)); });
     ASSERT_EQ(answers.size(), 1u);
     EXPECT_TRUE(answers[0].reply.commands.empty()) << what;
     t.machine().push_in_flight = false;
     t.machine().acknowledgements.count_lost_push();  // evidence of a lost message makes the leader push
     t.shard.request_push(t.machine());
-    const auto calls = t.at<WorkerCall>(102.1, [&] { t.fleet.push_commands(t.shard); });
+    const auto calls = t.call_at<WorkerCall>(102.1, [&] { t.fleet.push_commands(t.shard); });
     ASSERT_EQ(calls.size(), 1u);
     EXPECT_TRUE(calls[0].request.commands.empty()) << what;
     EXPECT_EQ(t.context.invariants.total(), state == "known to have ended" ? 1u : 0u);
--- a/tests/machine_test.cpp
+++ b/tests/machine_test.cpp
@@ -14,7 +14,7 @@
 TEST(HeartbeatReply, FirstReplyStopsTasksOfUnknownJobs) {
   HeldShard t;
   const auto replies =
-      t.at<AnswerHeartbeat>(101, [&] { t.fleet.on_heartbeat(1, t.heartbeat(5, 1, 4, true)); });
+      t.call_at<AnswerHeartbeat>(101, [&] { t.fleet.on_heartbeat(1, t.heartbeat(5, 1, 4, true)); });
   ASSERT_EQ(replies.size(), 1u);
   EXPECT_EQ(replies[0].reply.status, 200);
   ASSERT_EQ(replies[0].reply.commands.size(), 1u);
@@ -24,7 +24,7 @@
 
   HeldShard with_job;
   with_job.add_job();
-  const auto kept = with_job.at<AnswerHeartbeat>(
+  const auto kept = with_job.call_at<AnswerHeartbeat>(
       101, [&] { with_job.fleet.on_heartbeat(1, with_job.heartbeat(5, 1, 4, true)); });
   ASSERT_EQ(kept.size(), 1u);
   EXPECT_TRUE(kept[0].reply.commands.empty());
@@ -39,9 +39,9 @@
   t.on_response(108, 1, CommandResponse::Outcome::refused, t.heartbeat(10, 2, 1, false));
   t.on_response(108, 2, CommandResponse::Outcome::executed, t.heartbeat(10, 2, 3, true));
   ASSERT_EQ(job.tasks[0].state, Task::State::placed);
-  t.at<LogLine>(113, [&] { t.fleet.tick(); });
+  t.call_at<LogLine>(113, [&] { t.fleet.tick(); });
   EXPECT_EQ(job.tasks[0].state, Task::State::placed) << "the lease of the incarnation lasts until 120 s";
-  t.at<LogLine>(121, [&] { t.fleet.tick(); });
+  t.call_at<LogLine>(121, [&] { t.fleet.tick(); });
   EXPECT_EQ(job.tasks[0].state, Task::State::waiting);
 }
 
@@ -50,14 +50,14 @@
 // afterwards is unreachable.
 TEST(DelayedHeartbeats, CountAsOnePieceOfEvidence) {
   HeldShard t;
-  t.at<LogLine>(111, [&] {
+  t.call_at<LogLine>(111, [&] {
     t.fleet.on_heartbeat(1, t.heartbeat(5, 1, 4, false));
     t.fleet.on_heartbeat(2, t.heartbeat(5, 1, 5, false));
     t.fleet.on_heartbeat(3, t.heartbeat(5, 1, 6, false));
     t.fleet.tick();
   });
   EXPECT_FALSE(t.machine().lifecycle.decommissioned);
-  t.at<LogLine>(116, [&] {
+  t.call_at<LogLine>(116, [&] {
     t.fleet.on_heartbeat(4, t.heartbeat(5, 1, 7, false));
     t.fleet.tick();
   });
@@ -70,8 +70,8 @@
 TEST(DelayedHeartbeats, AreNoEvidenceTogetherWithPushLostInSamePartition) {
   HeldShard t;
   t.shard.set_reconciled(t.machine(), true);
-  t.at<LogLine>(101.5, [&] { t.fleet.on_command_response(1, {CommandResponse::Outcome::unknown, {}}); });
-  t.at<LogLine>(111, [&] {
+  t.call_at<LogLine>(101.5, [&] { t.fleet.on_command_response(1, {CommandResponse::Outcome::unknown, {}}); });
+  t.call_at<LogLine>(111, [&] {
     for (std::uint64_t sequence_number = 4; sequence_number < 9; ++sequence_number)
       t.fleet.on_heartbeat(sequence_number, t.heartbeat(5, 1, sequence_number, false));
     t.fleet.tick();
@@ -86,11 +86,11 @@
   for (const auto& [next_heartbeat_at, evidence] : {std::pair(101.1, 0), std::pair(106.0, 1)}) {
     HeldShard t;
     Job& job = t.add_job();
-    t.at<LogLine>(100.5, [&] { t.fleet.on_heartbeat(1, t.heartbeat(10, 1, 4, false)); });
+    t.call_at<LogLine>(100.5, [&] { t.fleet.on_heartbeat(1, t.heartbeat(10, 1, 4, false)); });
     t.shard.add_placement(t.machine(), {kTask, 7}, &job);
     job.leave_waiting(0, {Task::State::placed, &t.machine(), 7});
-    t.at<LogLine>(101, [&] { t.fleet.on_heartbeat(2, t.heartbeat(10, 1, 5, false)); });
-    t.at<LogLine>(next_heartbeat_at, [&] { t.fleet.on_heartbeat(3, t.heartbeat(10, 1, 6, false)); });
+    t.call_at<LogLine>(101, [&] { t.fleet.on_heartbeat(2, t.heartbeat(10, 1, 5, false)); });
+    t.call_at<LogLine>(next_heartbeat_at, [&] { t.fleet.on_heartbeat(3, t.heartbeat(10, 1, 6, false)); });
     EXPECT_EQ(t.machine().acknowledgements.evidence_weight(), evidence)
         << "next heartbeat at " << next_heartbeat_at << " s";
   }
@@ -100,15 +100,15 @@
 // is lost as well do the lost pushes count as evidence.
 TEST(LostPushes, AreEvidenceIfHeartbeatsArriveInBetween) {
   HeldShard t;
-  t.at<LogLine>(101, [&] { t.fleet.on_heartbeat(4, t.heartbeat(10, 1, 4, false)); });
+  t.call_at<LogLine>(101, [&] { t.fleet.on_heartbeat(4, t.heartbeat(10, 1, 4, false)); });
   std::uint64_t call = 1;
   for (const auto& step : {std::pair(107.0, 0), std::pair(112.0, 2)}) {
     const double moment = step.first;
     const int evidence = step.second;
-    t.at<LogLine>(moment - 4, [&] {
+    t.call_at<LogLine>(moment - 4, [&] {
       t.fleet.on_command_response(call, {CommandResponse::Outcome::unknown, {}});
     });
-    const auto calls = t.at<WorkerCall>(moment, [&] {
+    const auto calls = t.call_at<WorkerCall>(moment, [&] {
       t.fleet.on_heartbeat(call, t.heartbeat(10, 1, static_cast<std::uint64_t>(moment), false));
       t.fleet.push_commands(t.shard);
     });
@@ -116,7 +116,7 @@
     ASSERT_EQ(calls.size(), 1u) << "at " << moment << " s";
     call = calls[0].call;
   }
-  t.at<LogLine>(117, [&] {
+  t.call_at<LogLine>(117, [&] {
     t.fleet.on_command_response(call, {CommandResponse::Outcome::unknown, {}});
     t.fleet.on_heartbeat(call, t.heartbeat(10, 1, 117, false));
     t.fleet.tick();
@@ -137,12 +137,12 @@
   EXPECT_TRUE(t.shard.may_start(job, seconds(109)));
   EXPECT_FALSE(t.shard.may_start(job, seconds(110)));
 
-  t.at<AnswerHeartbeat>(105, [&] { t.fleet.on_heartbeat(1, t.heartbeat(10, 1, 4, true)); });
+  t.call_at<AnswerHeartbeat>(105, [&] { t.fleet.on_heartbeat(1, t.heartbeat(10, 1, 4, true)); });
   ASSERT_EQ(job.tasks[0].state, Task::State::placed);
   for (const auto& step : {std::pair(109.0, 0u), std::pair(111.0, 1u)}) {
     const double moment = step.first;
     const unsigned stops = step.second;
-    const auto replies = t.at<AnswerHeartbeat>(moment, [&] {
+    const auto replies = t.call_at<AnswerHeartbeat>(moment, [&] {
       net.stop_stale_awards(t.shard, t.machine());
       t.fleet.on_heartbeat(2, t.heartbeat(10, 1, static_cast<std::uint64_t>(moment), true));
     });
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -56,7 +56,7 @@
   std::vector<CreateMachines> tick_autoscaler() {
     for (auto& [id, job] : shard.jobs) job.needs_machines = true;
     std::vector<CreateMachines> out;
-    for (const CloudCall& call : at<CloudCall>(in_seconds(context.now) + 1, [&] { autoscaler.tick(); }))
+    for (const CloudCall& call : call_at<CloudCall>(in_seconds(context.now) + 1, [&] { autoscaler.tick(); }))
       if (auto* creation = std::get_if<CreateMachines>(&call.request)) out.push_back(*creation);
     return out;
   }
--- a/tests/sim/held_shard.h
+++ b/tests/sim/held_shard.h
@@ -65,7 +65,7 @@
   /// Sets the steady clock to `moment`, in seconds, and calls `event`. Returns the resulting actions of one
   /// kind.
   template <class Kind>
-  std::vector<Kind> at(double moment, const std::function<void()>& event) {
+  std::vector<Kind> call_at(double moment, const std::function<void()>& event) {
     context.now = seconds(moment);
     context.actions.clear();
     event();
@@ -77,7 +77,7 @@
   /// Delivers the response to a command request, then pushes the commands that it gives rise to.
   void on_response(double moment, std::uint64_t call, CommandResponse::Outcome outcome,
                    const Heartbeat& status) {
-    at<LogLine>(moment, [&] {
+    call_at<LogLine>(moment, [&] {
       fleet.on_command_response(call, {outcome, status});
       fleet.push_commands(shard);
     });
