--- a/tests/late_answer_test.cpp
+++ b/tests/late_answer_test.cpp
@@ -20,15 +20,15 @@
   ASSERT_EQ(t.calls.size(), 1u);
   t.cancel();
   ASSERT_EQ(t.calls.size(), 2u) << "expected a read of the live record";
-  t.answer(1, live_record());
+  t.respond(1, live_record());
   ASSERT_EQ(t.calls.size(), 3u) << "expected the write of the final state";
-  t.answer(2, written(21));
+  t.respond(2, write_response(21));
   ASSERT_EQ(t.replies.size(), 1u);
   EXPECT_EQ(t.replies[0].phase, JobPhase::cancelled);
   t.tick();
   ASSERT_FALSE(t.shard.jobs.contains(kTask.job));
 
-  t.answer(0, written(20));
+  t.respond(0, write_response(20));
   EXPECT_FALSE(t.shard.jobs.contains(kTask.job));
   ASSERT_EQ(t.replies.size(), 2u);
   EXPECT_EQ(t.replies[1].status, 200);
@@ -63,9 +63,9 @@
   t.collect([&] { t.jobs.on_invalid_submission(1, kTask.job, "malformed repetition"); });
   StoreResponse absent;
   absent.outcome = Outcome::absent;
-  t.answer(0, absent);
-  t.answer(1, found(records::final_job_key(kTask.job),
-                    records::to_json(records::FinalJob{JobPhase::cancelled, 1}), 15));
+  t.respond(0, absent);
+  t.respond(1, read_response(records::final_job_key(kTask.job),
+                             records::to_json(records::FinalJob{JobPhase::cancelled, 1}), 15));
   ASSERT_EQ(t.replies.size(), 1u);
   EXPECT_EQ(t.replies[0].phase, JobPhase::cancelled);
   EXPECT_TRUE(job.ended);
@@ -78,7 +78,7 @@
   t.cancel();
   ASSERT_EQ(t.calls.size(), 1u);
   t.shard.acquired_at = t.context.now + millis(1);
-  t.answer(0, live_record());
+  t.respond(0, live_record());
   EXPECT_FALSE(t.shard.jobs.contains(kTask.job));
   ASSERT_EQ(t.replies.size(), 1u);
   EXPECT_EQ(t.replies[0].status, 503);
@@ -105,18 +105,18 @@
   Job& job = t.add_job();
   t.cancel();
   ASSERT_EQ(t.calls.size(), 1u);
-  const std::vector<Compare>& compares = t.commit(0).compares;
+  const std::vector<Compare>& compares = t.transaction_of(0).compares;
   EXPECT_TRUE(std::any_of(compares.begin(), compares.end(), [](const Compare& c) {
     return c.key == records::final_job_key(kTask.job) && c.revision == 0;
   }));
   StoreResponse refused;
   refused.outcome = Outcome::conflict;
   refused.failed = {records::final_job_key(kTask.job)};
-  t.answer(0, refused);
+  t.respond(0, refused);
   ASSERT_EQ(t.calls.size(), 2u) << "expected a read of the stored final state";
   EXPECT_TRUE(job.finalizing);
-  t.answer(1, found(records::final_job_key(kTask.job), records::to_json(records::FinalJob{JobPhase::done, 1}),
-                    15));
+  t.respond(1, read_response(records::final_job_key(kTask.job),
+                             records::to_json(records::FinalJob{JobPhase::done, 1}), 15));
   ASSERT_EQ(t.replies.size(), 1u);
   EXPECT_EQ(t.replies[0].phase, JobPhase::done);
   EXPECT_EQ(t.context.invariants.total(), 1u) << "the refused write had a different final state";
@@ -128,7 +128,7 @@
   JobsFixture t;
   t.add_job();
   t.cancel();
-  t.answer(0, {});
+  t.respond(0, {});
   ASSERT_EQ(t.replies.size(), 1u);
   EXPECT_EQ(t.replies[0].status, 503);
   ASSERT_EQ(t.context.timers.size(), 1u);
@@ -136,9 +136,9 @@
   StoreResponse refused;
   refused.outcome = Outcome::conflict;
   refused.failed = {records::final_job_key(kTask.job)};
-  t.answer(1, refused);
-  t.answer(2, found(records::final_job_key(kTask.job),
-                    records::to_json(records::FinalJob{JobPhase::cancelled, 1}), 15));
+  t.respond(1, refused);
+  t.respond(2, read_response(records::final_job_key(kTask.job),
+                             records::to_json(records::FinalJob{JobPhase::cancelled, 1}), 15));
   EXPECT_EQ(t.context.invariants.total(), 0u);
   t.cancel();
   EXPECT_EQ(t.replies.back().phase, JobPhase::cancelled);
--- a/tests/question_test.cpp
+++ b/tests/question_test.cpp
@@ -27,13 +27,13 @@
   JobsWithPeer fixture;
   fixture.poll(100);
   EXPECT_EQ(fixture.calls.size(), 1u);
-  fixture.answer_last(absent());  // no live record; the final state is read next
-  fixture.answer_last(absent());
+  fixture.respond_to_last(absent_response());  // no live record; the final state is read next
+  fixture.respond_to_last(absent_response());
   ASSERT_EQ(fixture.replies.size(), 1u);
   EXPECT_EQ(fixture.replies[0].status, 404);
   EXPECT_EQ(fixture.calls.size(), 3u) << "expected one more read, shared by all polls that came meanwhile";
-  fixture.answer_last(absent());
-  fixture.answer_last(absent());
+  fixture.respond_to_last(absent_response());
+  fixture.respond_to_last(absent_response());
   EXPECT_EQ(fixture.replies.size(), 100u);
   EXPECT_EQ(fixture.calls.size(), 4u);
 }
@@ -61,11 +61,11 @@
   JobsWithPeer fixture;
   fixture.poll(1);
   fixture.poll(1);
-  fixture.answer_last(absent());
-  fixture.answer_last(absent());
+  fixture.respond_to_last(absent_response());
+  fixture.respond_to_last(absent_response());
   ASSERT_EQ(fixture.replies.size(), 1u);
   EXPECT_EQ(fixture.replies[0].status, 404);
-  fixture.answer_last(live_record("b"));
+  fixture.respond_to_last(live_record("b"));
   const std::vector<JobQuery> queries = fixture.queries;
   fixture.collect([&] {
     for (const JobQuery& query : queries) fixture.jobs.on_reply({query.id, 503, JobPhase::pending, 0, 0});
--- a/tests/shard_leases_test.cpp
+++ b/tests/shard_leases_test.cpp
@@ -28,7 +28,7 @@
   ASSERT_NE(renewal, t.calls.end());
   StoreResponse ended;
   ended.outcome = Outcome::absent;
-  t.answer(static_cast<std::size_t>(renewal - t.calls.begin()), ended);
+  t.respond(static_cast<std::size_t>(renewal - t.calls.begin()), ended);
   t.collect([&] { leases.tick(); });
   const auto next = std::find_if(t.calls.rbegin(), t.calls.rend(), [](const StoreCall& call) {
     return std::holds_alternative<GrantLease>(call.request);
@@ -50,14 +50,14 @@
         t.state, t.fleet, [](Shard&) {}, [](const std::string&) {});
     t.collect([&] { leases.tick(); });
     ASSERT_TRUE(std::holds_alternative<GrantLease>(t.calls.at(0).request));
-    t.answer(0, granted(7));
+    t.respond(0, granted(7));
     t.collect([&] { leases.on_lease_transfer({"b", 30, false, {}}); });
     const std::size_t acquisition = t.calls.size() - 1;
     ASSERT_TRUE(std::holds_alternative<Transaction>(t.calls.at(acquisition).request));
     if (store_lease_ends) {
       ASSERT_NO_FATAL_FAILURE(replace_store_lease(t, leases));
     }
-    t.answer(acquisition, written(31));
+    t.respond(acquisition, write_response(31));
     EXPECT_EQ(t.state.shards.contains("b"), !store_lease_ends);
   }
 }
--- a/tests/sim/jobs_fixture.h
+++ b/tests/sim/jobs_fixture.h
@@ -57,19 +57,21 @@
     collect([&] { jobs.tick(); });
   }
   /// Delivers a response of the key-value store to the call at index `call` of `calls`.
-  void answer(std::size_t call, const StoreResponse& with) {
+  void respond(std::size_t call, const StoreResponse& with) {
     collect([&] { state.store.on_response(calls.at(call).call, with); });
   }
   /// Delivers a response of the key-value store to the most recent call.
-  void answer_last(const StoreResponse& with) { answer(calls.size() - 1, with); }
+  void respond_to_last(const StoreResponse& with) { respond(calls.size() - 1, with); }
   /// The transaction that the call at index `call` of `calls` commits.
-  const Transaction& commit(std::size_t call) const { return std::get<Transaction>(calls.at(call).request); }
+  const Transaction& transaction_of(std::size_t call) const {
+    return std::get<Transaction>(calls.at(call).request);
+  }
 
   std::uint64_t next_request = 1;
 };
 
 /// The response to a successful write.
-inline StoreResponse written(std::uint64_t revision) {
+inline StoreResponse write_response(std::uint64_t revision) {
   StoreResponse response;
   response.outcome = StoreResponse::Outcome::ok;
   response.revision = revision;
@@ -77,14 +79,14 @@
 }
 
 /// The response to a read of a key that does not exist.
-inline StoreResponse absent() {
+inline StoreResponse absent_response() {
   StoreResponse response;
   response.outcome = StoreResponse::Outcome::absent;
   return response;
 }
 
 /// The response to a read of a key that exists.
-inline StoreResponse found(const std::string& key, Value value, std::uint64_t revision) {
+inline StoreResponse read_response(const std::string& key, Value value, std::uint64_t revision) {
   StoreResponse response;
   response.outcome = StoreResponse::Outcome::ok;
   response.entries = {{key, std::move(value), revision}};
@@ -94,7 +96,7 @@
 /// The response to a read of the record of kTask's job, as an unfinished job of `shard`.
 inline StoreResponse live_record(const std::string& shard = "a") {
   const records::LiveJob record{shard, JobsFixture::spec(), seconds(1'000'000)};
-  return found(records::live_key(kTask.job), records::to_json(record), 20);
+  return read_response(records::live_key(kTask.job), records::to_json(record), 20);
 }
 
 }  // namespace bendtide::sim
