--- a/tests/sim/fault_injector.cpp
+++ b/tests/sim/fault_injector.cpp
@@ -58,11 +58,11 @@
   const FaultScenario& scenario = environment_.scenario;
   Simulation& simulation = environment_.simulation;
   for (const ScheduledFault& fault : scenario.faults)
-    simulation.at(fault.at, [this, &fault] { inject(scheduled_injection(fault)); });
+    simulation.schedule_at(fault.at, [this, &fault] { inject(scheduled_injection(fault)); });
   if (!scenario.faults.empty())
-    simulation.at(scenario.faults_until, [this] { end_machine_faults(); });
+    simulation.schedule_at(scenario.faults_until, [this] { end_machine_faults(); });
   else if (scenario.inject_faults)
-    simulation.at(scenario.faults_from, [this] { inject_random_fault(); });
+    simulation.schedule_at(scenario.faults_from, [this] { inject_random_fault(); });
   else
     environment_.checker.set_settled(simulation.now());
 }
@@ -72,25 +72,26 @@
   if (simulation.now() > environment_.scenario.faults_until) return end_machine_faults();
   const FaultKind kind = draw_kind();
   inject(draw_injection(kind));
-  simulation.after(seconds(1 + simulation.chance() * 14), [this] { inject_random_fault(); });
+  simulation.schedule_after(seconds(1 + simulation.random_fraction() * 14),
+                            [this] { inject_random_fault(); });
 }
 
 FaultKind FaultInjector::draw_kind() {
   const FaultScenario& scenario = environment_.scenario;
-  if (!scenario.kinds.empty()) return environment_.simulation.pick_from(scenario.kinds);
+  if (!scenario.kinds.empty()) return environment_.simulation.random_element(scenario.kinds);
   // Kinds that were added later are drawn only if the scenario lists them, so that the seeds of existing
   // tests keep producing the same faults.
   const FaultKind first_not_drawn =
       scenario.has_extended_faults ? FaultKind::late_transactions : FaultKind::controller_pauses;
-  return static_cast<FaultKind>(environment_.simulation.pick(static_cast<int>(first_not_drawn)));
+  return static_cast<FaultKind>(environment_.simulation.random_index(static_cast<int>(first_not_drawn)));
 }
 
 FaultInjector::Injection FaultInjector::draw_injection(FaultKind kind) {
   Simulation& simulation = environment_.simulation;
   Injection injection{kind, false, nullptr, false, Micros{0}, kJobsCancelledTogether, {}};
   injection.controller = &controllers_.random_host();
-  injection.hold = simulation.chance() < 0.5;
-  injection.duration = seconds(3 + simulation.chance() * 30);
+  injection.hold = simulation.random_fraction() < 0.5;
+  injection.duration = seconds(3 + simulation.random_fraction() * 30);
   injection.machines = {machines_.random()};
   return injection;
 }
@@ -125,13 +126,13 @@
     machine.worker->unreachable_outbound = false;
     if (!environment_.scenario.machines_stay_unreachable) machine.worker->unreachable_inbound = false;
   }
-  environment_.simulation.after(kSettleDelay,
-                                [this] { environment_.checker.set_settled(environment_.simulation.now()); });
+  environment_.simulation.schedule_after(
+      kSettleDelay, [this] { environment_.checker.set_settled(environment_.simulation.now()); });
 }
 
 Micros FaultInjector::duration_of(const Injection& injection, double min_seconds, double max_seconds) {
   if (injection.scheduled) return injection.duration;
-  return seconds(min_seconds + environment_.simulation.chance() * (max_seconds - min_seconds));
+  return seconds(min_seconds + environment_.simulation.random_fraction() * (max_seconds - min_seconds));
 }
 
 // ---- controllers --------------------------------------------------------------------------------
@@ -139,8 +140,8 @@
 Micros FaultInjector::restart_delay(const Injection& injection) {
   Simulation& simulation = environment_.simulation;
   if (injection.scheduled) return injection.duration;
-  const bool soon = simulation.chance() < 0.4;
-  return seconds(soon ? 0.02 + simulation.chance() * 0.3 : 0.5 + simulation.chance() * 6);
+  const bool soon = simulation.random_fraction() < 0.4;
+  return seconds(soon ? 0.02 + simulation.random_fraction() * 0.3 : 0.5 + simulation.random_fraction() * 6);
 }
 
 void FaultInjector::crash_controller(const Injection& injection) {
@@ -153,9 +154,9 @@
 
 void FaultInjector::pause_controller(const Injection& injection) {
   Simulation& simulation = environment_.simulation;
-  injection.controller->pauses_for = injection.scheduled
-                                         ? injection.duration
-                                         : seconds(0.2 + simulation.chance() * simulation.chance() * 30);
+  injection.controller->pauses_for =
+      injection.scheduled ? injection.duration
+                          : seconds(0.2 + simulation.random_fraction() * simulation.random_fraction() * 30);
 }
 
 void FaultInjector::cut_peers(const ControllerHost& host, const Injection& injection) {
@@ -193,17 +194,18 @@
     environment_.faults.store_outage = on;
   };
   set_outage(true);
-  environment_.simulation.after(duration_of(injection, 2, 18), [set_outage] { set_outage(false); });
+  environment_.simulation.schedule_after(duration_of(injection, 2, 18), [set_outage] { set_outage(false); });
 }
 
 void FaultInjector::slow_store(const Injection& injection) {
   environment_.faults.store_slowness = 30;
-  environment_.simulation.after(injection.duration, [this] { environment_.faults.store_slowness = 1; });
+  environment_.simulation.schedule_after(injection.duration,
+                                         [this] { environment_.faults.store_slowness = 1; });
 }
 
 void FaultInjector::refuse_at_store(const Injection& injection) {
   environment_.faults.refused_hosts.insert(injection.controller->name);
-  environment_.simulation.after(injection.duration, [this, host = injection.controller->name] {
+  environment_.simulation.schedule_after(injection.duration, [this, host = injection.controller->name] {
     environment_.faults.refused_hosts.erase(host);
   });
 }
@@ -218,7 +220,7 @@
 
 void FaultInjector::stop_cloud(const Injection& injection) {
   machines_.cloud().set_outage(true);
-  environment_.simulation.after(injection.duration, [this] { machines_.cloud().set_outage(false); });
+  environment_.simulation.schedule_after(injection.duration, [this] { machines_.cloud().set_outage(false); });
 }
 
 // ---- users --------------------------------------------------------------------------------------
--- a/tests/sim/fault_injector_machines.cpp
+++ b/tests/sim/fault_injector_machines.cpp
@@ -52,14 +52,14 @@
   set_worker_flag(injection.machines, &SimulatedWorker::unreachable_inbound, true);
   // If the fault was drawn at random, the machines stay unreachable until all faults end.
   if (!injection.scheduled) return;
-  environment_.simulation.after(injection.duration, [this, machines = injection.machines] {
+  environment_.simulation.schedule_after(injection.duration, [this, machines = injection.machines] {
     set_worker_flag(machines, &SimulatedWorker::unreachable_inbound, false);
   });
 }
 
 void FaultInjector::make_unreachable_outbound(const Injection& injection) {
   set_worker_flag(injection.machines, &SimulatedWorker::unreachable_outbound, true);
-  environment_.simulation.after(injection.duration, [this, machines = injection.machines] {
+  environment_.simulation.schedule_after(injection.duration, [this, machines = injection.machines] {
     set_worker_flag(machines, &SimulatedWorker::unreachable_outbound, false);
   });
 }
@@ -83,7 +83,7 @@
 
 void FaultInjector::hang(const std::vector<std::string>& machines, Micros duration) {
   set_worker_flag(machines, &SimulatedWorker::hanging, true);
-  environment_.simulation.after(
+  environment_.simulation.schedule_after(
       duration, [this, machines] { set_worker_flag(machines, &SimulatedWorker::hanging, false); });
 }
 
--- a/tests/sim/heartbeat_exchange.cpp
+++ b/tests/sim/heartbeat_exchange.cpp
@@ -27,9 +27,9 @@
   send_copies(body);
   if (worker.unreachable_outbound) {
     environment_.evidence.add(Evidence::heartbeat_lost);
-    return simulation.after(kNoRouteErrorDelay, [this, heartbeat] { fail(heartbeat); });
+    return simulation.schedule_after(kNoRouteErrorDelay, [this, heartbeat] { fail(heartbeat); });
   }
-  simulation.after(kReplyTimeout, [this, heartbeat] { fail(heartbeat); });
+  simulation.schedule_after(kReplyTimeout, [this, heartbeat] { fail(heartbeat); });
   if (ControllerHost* host = controllers_.find(target))
     network_.send(machine.name, target, [this, host, heartbeat] { receive(*host, heartbeat); });
 }
@@ -38,13 +38,13 @@
   Simulation& simulation = environment_.simulation;
   network_.duplicate_sometimes([this, body] { deliver_copy(body); });
   const bool copy_late = simulation.now() < environment_.faults.heartbeats_duplicated_until &&
-                         simulation.chance() < kLateCopyProbability;
+                         simulation.random_fraction() < kLateCopyProbability;
   if (!copy_late) return;
   environment_.evidence.add(Evidence::heartbeat_duplicated);
   const auto lease = static_cast<double>(environment_.settings.worker_lease.count());
   const Micros extra_delay{
-      static_cast<std::int64_t>(lease * kMaxExtraCopyDelayInLeases * simulation.chance())};
-  simulation.after(kMinCopyDelay + extra_delay, [this, body] { deliver_copy(body); });
+      static_cast<std::int64_t>(lease * kMaxExtraCopyDelayInLeases * simulation.random_fraction())};
+  simulation.schedule_after(kMinCopyDelay + extra_delay, [this, body] { deliver_copy(body); });
 }
 
 void HeartbeatExchange::deliver_copy(const std::string& body) {
--- a/tests/sim/simulated_cluster.cpp
+++ b/tests/sim/simulated_cluster.cpp
@@ -34,10 +34,11 @@
   const FaultScenario& scenario = environment_.scenario;
   controllers_.start_all();
   users_.start();
-  simulation.after(kMachineUpdateInterval, [this] { advance_machines(); });
-  simulation.after(kUnusualRequestsStart, [this] { users_.send_unusual_requests(); });
-  if (scenario.operators_poll) simulation.after(kAdminRequestInterval, [this] { send_admin_requests(); });
-  simulation.after(kNeglectCheckStart, [this] { neglect_check_.run_periodically(); });
+  simulation.schedule_after(kMachineUpdateInterval, [this] { advance_machines(); });
+  simulation.schedule_after(kUnusualRequestsStart, [this] { users_.send_unusual_requests(); });
+  if (scenario.operators_poll)
+    simulation.schedule_after(kAdminRequestInterval, [this] { send_admin_requests(); });
+  simulation.schedule_after(kNeglectCheckStart, [this] { neglect_check_.run_periodically(); });
   fault_injector_.start();
   simulation.run_until(scenario.end);
   environment_.checker.check_at_end();
@@ -55,7 +56,7 @@
   environment_.checker.check_cancelled_jobs(now);
   count_teams_at_limit();
   users_.race_job_ends();
-  environment_.simulation.after(kMachineUpdateInterval, [this] { advance_machines(); });
+  environment_.simulation.schedule_after(kMachineUpdateInterval, [this] { advance_machines(); });
 }
 
 void SimulatedCluster::count_teams_at_limit() {
@@ -69,7 +70,7 @@
   for (auto& host : controllers_.hosts())
     for (const Kind page : {Kind::policy, Kind::shards, Kind::machines, Kind::jobs, Kind::negotiations})
       controllers_.deliver_admin_request(*host, {page, {}});
-  environment_.simulation.after(kAdminRequestInterval, [this] { send_admin_requests(); });
+  environment_.simulation.schedule_after(kAdminRequestInterval, [this] { send_admin_requests(); });
 }
 
 void SimulatedCluster::print_states() const {
--- a/tests/sim/simulated_controllers.cpp
+++ b/tests/sim/simulated_controllers.cpp
@@ -24,8 +24,8 @@
   for (int i = 0; i < kCount; ++i) {
     auto host = std::make_unique<ControllerHost>();
     host->name = "node-" + std::to_string(i);
-    host->clock_drift = (simulation.chance() - 0.5) * kClockDriftRange;
-    host->clock_offset = seconds(simulation.chance() * kClockOffsetRangeSeconds);
+    host->clock_drift = (simulation.random_fraction() - 0.5) * kClockDriftRange;
+    host->clock_offset = seconds(simulation.random_fraction() * kClockOffsetRangeSeconds);
     if (environment_.scenario.has_extended_faults && i == 2) host->zone = "west";
     hosts_.push_back(std::move(host));
   }
@@ -36,8 +36,8 @@
 void SimulatedControllers::start_all() {
   Simulation& simulation = environment_.simulation;
   for (auto& host : hosts_) {
-    const Micros delay = millis(simulation.pick(static_cast<int>(kMaxStartDelay / millis(1))));
-    simulation.after(delay, [this, host = host.get()] { start(*host); });
+    const Micros delay = millis(simulation.random_index(static_cast<int>(kMaxStartDelay / millis(1))));
+    simulation.schedule_after(delay, [this, host = host.get()] { start(*host); });
   }
 }
 
@@ -62,7 +62,7 @@
   host.pauses_for = Micros{0};
   host.user_requests.clear();
   host.heartbeats.clear();
-  environment_.simulation.after(restart_after, [this, &host] { start(host); });
+  environment_.simulation.schedule_after(restart_after, [this, &host] { start(host); });
 }
 
 void SimulatedControllers::tick(ControllerHost& host, std::uint64_t incarnation) {
@@ -71,20 +71,22 @@
   if (host.is_up() && host.incarnation == incarnation)
     for (const auto& [name, shard] : host.core->state().shards)
       if (!shard.sums_are_consistent()) ++inconsistent_sums_;
-  environment_.simulation.after(kTickInterval, [this, &host, incarnation] { tick(host, incarnation); });
+  environment_.simulation.schedule_after(kTickInterval,
+                                         [this, &host, incarnation] { tick(host, incarnation); });
 }
 
 void SimulatedControllers::deliver(ControllerHost& host, std::uint64_t incarnation, const Event& event) {
   if (!host.is_up() || host.incarnation != incarnation) return;
   Simulation& simulation = environment_.simulation;
   if (simulation.now() < host.paused_until)
-    return simulation.at(host.paused_until,
-                         [this, &host, incarnation, event] { deliver(host, incarnation, event); });
+    return simulation.schedule_at(host.paused_until,
+                                  [this, &host, incarnation, event] { deliver(host, incarnation, event); });
   host.core->set_clocks(steady_time(host), simulation.now() + kWallClockOffset);
   event(*host.core);
   if (host.pauses_for == Micros{0}) return perform_actions(host, incarnation);
   host.paused_until = simulation.now() + std::exchange(host.pauses_for, Micros{0});
-  simulation.at(host.paused_until, [this, &host, incarnation] { perform_actions(host, incarnation); });
+  simulation.schedule_at(host.paused_until,
+                         [this, &host, incarnation] { perform_actions(host, incarnation); });
 }
 
 void SimulatedControllers::perform_actions(ControllerHost& host, std::uint64_t incarnation) {
@@ -111,7 +113,7 @@
   };
   const std::uint64_t number = host.next_request++;
   host.user_requests[number] = [complete](const UserReply& reply) { complete(&reply); };
-  environment_.simulation.after(kUserTimeout, [complete] { complete(nullptr); });
+  environment_.simulation.schedule_after(kUserTimeout, [complete] { complete(nullptr); });
   deliver(host, host.incarnation, [request, number](Controller& core) { request(core, number); });
 }
 
--- a/tests/sim/simulated_controllers.h
+++ b/tests/sim/simulated_controllers.h
@@ -58,7 +58,7 @@
 
   std::vector<std::unique_ptr<ControllerHost>>& hosts() { return hosts_; }
   const std::vector<std::unique_ptr<ControllerHost>>& hosts() const { return hosts_; }
-  ControllerHost& random_host() { return *environment_.simulation.pick_from(hosts_); }
+  ControllerHost& random_host() { return *environment_.simulation.random_element(hosts_); }
   /// Returns null if there is no host with that name.
   ControllerHost* find(const std::string& host);
   /// Returns the host whose controller leads the most machines.
--- a/tests/sim/simulated_controllers_actions.cpp
+++ b/tests/sim/simulated_controllers_actions.cpp
@@ -31,9 +31,9 @@
     const double slowness = environment_.faults.store_slowness;
     if (shared->to != kStoreAddress || slowness <= 1) return serve(shared);
     const Micros service_time{static_cast<std::int64_t>(kStoreServiceTimeMicros * slowness)};
-    environment_.simulation.after(service_time, [this, shared] { serve(shared); });
+    environment_.simulation.schedule_after(service_time, [this, shared] { serve(shared); });
   });
-  environment_.simulation.after(shared->timeout, [this, shared] { complete(shared, Response{}); });
+  environment_.simulation.schedule_after(shared->timeout, [this, shared] { complete(shared, Response{}); });
 }
 
 template <class Response>
@@ -45,10 +45,10 @@
   };
   const bool late = call->to == kStoreAddress &&
                     simulation.now() < environment_.faults.store_responses_late_until &&
-                    simulation.chance() <= kLateStoreResponseProbability;
+                    simulation.random_fraction() <= kLateStoreResponseProbability;
   if (!late) return respond();
   environment_.evidence.add(Evidence::store_response_delayed);
-  simulation.after(millis(30 + simulation.pick(900)), respond);
+  simulation.schedule_after(millis(30 + simulation.random_index(900)), respond);
 }
 
 template <class Response>
@@ -64,7 +64,8 @@
   Simulation& simulation = environment_.simulation;
   const bool late = std::holds_alternative<Transaction>(action.request) &&
                     simulation.now() < environment_.faults.transactions_late_until &&
-                    !environment_.faults.store_outage && simulation.chance() < kLateTransactionProbability;
+                    !environment_.faults.store_outage &&
+                    simulation.random_fraction() < kLateTransactionProbability;
   if (late) return execute_transaction_late(host, action);
   call<StoreResponse>(
       {&host, host.incarnation, kStoreAddress, kStoreTimeout,
@@ -77,10 +78,11 @@
 void SimulatedControllers::execute_transaction_late(ControllerHost& host, const StoreCall& action) {
   Simulation& simulation = environment_.simulation;
   environment_.evidence.add(Evidence::transaction_executed_late);
-  simulation.after(seconds(2 + simulation.chance() * 10), [this, http = wire::request_of(action.request)] {
-    environment_.store.handle(http, environment_.simulation.now());
-  });
-  simulation.after(kStoreTimeout, [this, &host, incarnation = host.incarnation, id = action.call] {
+  simulation.schedule_after(seconds(2 + simulation.random_fraction() * 10),
+                            [this, http = wire::request_of(action.request)] {
+                              environment_.store.handle(http, environment_.simulation.now());
+                            });
+  simulation.schedule_after(kStoreTimeout, [this, &host, incarnation = host.incarnation, id = action.call] {
     deliver(host, incarnation, [id](Controller& core) { core.on_store_response(id, StoreResponse{}); });
   });
 }
--- a/tests/sim/simulated_machines.cpp
+++ b/tests/sim/simulated_machines.cpp
@@ -30,10 +30,11 @@
 
 void SimulatedMachines::boot(const SimulatedCloud::Machine& machine) {
   Simulation& simulation = environment_.simulation;
-  double boot_seconds = 2 + simulation.chance() * 8;
+  double boot_seconds = 2 + simulation.random_fraction() * 8;
   if (simulation.now() < environment_.faults.machines_boot_late_until)
-    boot_seconds *= simulation.chance() < kNeverBootsProbability ? kNeverBootsFactor : kLateBootFactor;
-  simulation.after(seconds(boot_seconds), [this, name = machine.name] { start_worker(name); });
+    boot_seconds *=
+        simulation.random_fraction() < kNeverBootsProbability ? kNeverBootsFactor : kLateBootFactor;
+  simulation.schedule_after(seconds(boot_seconds), [this, name = machine.name] { start_worker(name); });
 }
 
 void SimulatedMachines::start_worker(const std::string& name) {
@@ -70,7 +71,7 @@
 
 std::string SimulatedMachines::random() {
   const std::vector<std::string> names = up();
-  return names.empty() ? "" : environment_.simulation.pick_from(names);
+  return names.empty() ? "" : environment_.simulation.random_element(names);
 }
 
 std::vector<std::string> SimulatedMachines::busiest(int count) const {
--- a/tests/sim/simulated_network.cpp
+++ b/tests/sim/simulated_network.cpp
@@ -15,7 +15,7 @@
 void SimulatedNetwork::cut(const std::string& one, const std::string& other, bool hold, Micros duration) {
   const Link link = std::minmax(one, other);
   if (!cuts_.try_emplace(link, Cut{hold, {}}).second) return;
-  environment_.simulation.after(duration, [this, link] { end_cut(link); });
+  environment_.simulation.schedule_after(duration, [this, link] { end_cut(link); });
 }
 
 void SimulatedNetwork::end_cut(const Link& link) {
@@ -24,7 +24,7 @@
   Micros delay = millis(1);
   for (Delivery& delivery : cut.held) {
     delay += millis(1);
-    environment_.simulation.after(delay, std::move(delivery));
+    environment_.simulation.schedule_after(delay, std::move(delivery));
   }
 }
 
@@ -36,9 +36,10 @@
     return;
   }
   Simulation& simulation = environment_.simulation;
-  Micros latency = kMinLatency + Micros{simulation.pick(kLatencyRangeMicros)};
-  if (simulation.chance() < kSlowMessageProbability) latency += millis(200 + simulation.pick(1500));
-  simulation.after(latency, std::move(delivery));
+  Micros latency = kMinLatency + Micros{simulation.random_index(kLatencyRangeMicros)};
+  if (simulation.random_fraction() < kSlowMessageProbability)
+    latency += millis(200 + simulation.random_index(1500));
+  simulation.schedule_after(latency, std::move(delivery));
 }
 
 void SimulatedNetwork::send_to_host(const std::string& from, const std::string& to, Delivery delivery) {
@@ -50,14 +51,14 @@
   const bool is_hanging = machine != machines_.cloud().machines().end() && machine->second.worker &&
                           machine->second.worker->hanging;
   if (!is_hanging) return delivery();
-  environment_.simulation.after(kHangCheckInterval,
-                                [this, to, delivery] { deliver_when_responsive(to, delivery); });
+  environment_.simulation.schedule_after(kHangCheckInterval,
+                                         [this, to, delivery] { deliver_when_responsive(to, delivery); });
 }
 
 void SimulatedNetwork::duplicate_sometimes(Delivery delivery) {
   Simulation& simulation = environment_.simulation;
-  if (!environment_.scenario.inject_faults || simulation.chance() > kDuplicateProbability) return;
-  simulation.after(seconds(0.5 + simulation.chance() * 40), std::move(delivery));
+  if (!environment_.scenario.inject_faults || simulation.random_fraction() > kDuplicateProbability) return;
+  simulation.schedule_after(seconds(0.5 + simulation.random_fraction() * 40), std::move(delivery));
 }
 
 }  // namespace bendtide::sim
--- a/tests/sim/simulated_users.cpp
+++ b/tests/sim/simulated_users.cpp
@@ -19,7 +19,7 @@
 
 void SimulatedUsers::start() {
   for (auto& user : users_)
-    environment_.simulation.at(user->submit_at, [this, user = user.get()] {
+    environment_.simulation.schedule_at(user->submit_at, [this, user = user.get()] {
       environment_.checker.job_submitted(user->job);
       submit(*user, environment_.simulation.now());
     });
@@ -51,7 +51,7 @@
          if (reply != nullptr && (reply->status == 200 || reply->status == 201))
            on_accepted(user, *reply, sent_at);
          else if (simulation.now() - since < kMaxResubmissionTime)
-           simulation.after(kRetryDelay, [this, &user, since] { submit(user, since); });
+           simulation.schedule_after(kRetryDelay, [this, &user, since] { submit(user, since); });
        });
 }
 
@@ -61,9 +61,9 @@
   environment_.checker.job_accepted(user.job.id, now);
   environment_.checker.reply_received(user.job.id, reply.status, reply.phase, sent_at, now);
   user.accepted = true;
-  simulation.after(seconds(4 + simulation.chance()), [this, &user] { poll(user); });
+  simulation.schedule_after(seconds(4 + simulation.random_fraction()), [this, &user] { poll(user); });
   if (environment_.scenario.impatient_users) act_on_acceptance(user);
-  if (user.cancel_at) simulation.at(std::max(now, *user.cancel_at), [this, &user] { cancel(user); });
+  if (user.cancel_at) simulation.schedule_at(std::max(now, *user.cancel_at), [this, &user] { cancel(user); });
 }
 
 void SimulatedUsers::act_on_acceptance(User& user) {
@@ -71,11 +71,12 @@
   Simulation& simulation = environment_.simulation;
   environment_.evidence.add(Evidence::job_polled_at_acceptance);
   poll_everywhere(user);
-  simulation.after(millis(simulation.pick(kMaxAcceptanceActionDelayMillis)),
-                   [this, &user] { submit(user, environment_.simulation.now()); });
-  if (simulation.chance() < 0.5) return;
+  simulation.schedule_after(millis(simulation.random_index(kMaxAcceptanceActionDelayMillis)),
+                            [this, &user] { submit(user, environment_.simulation.now()); });
+  if (simulation.random_fraction() < 0.5) return;
   environment_.evidence.add(Evidence::job_cancelled_at_acceptance);
-  simulation.after(millis(simulation.pick(kMaxAcceptanceActionDelayMillis)), [this, &user] { cancel(user); });
+  simulation.schedule_after(millis(simulation.random_index(kMaxAcceptanceActionDelayMillis)),
+                            [this, &user] { cancel(user); });
 }
 
 // ---- polls --------------------------------------------------------------------------------------
@@ -104,8 +105,9 @@
            environment_.checker.poll_unanswered(user.job.id, simulation.now());
          else
            on_poll_answered(user, *reply, sent_at);
-         const Micros pause = user.answered_final ? seconds(25 + simulation.chance() * 30) : kPollInterval;
-         simulation.after(pause, [this, &user] { poll(user); });
+         const Micros pause =
+             user.answered_final ? seconds(25 + simulation.random_fraction() * 30) : kPollInterval;
+         simulation.schedule_after(pause, [this, &user] { poll(user); });
        });
 }
 
@@ -132,7 +134,7 @@
          if (reply != nullptr && reply->status == 200)
            on_cancelled(user, *reply);
          else
-           simulation.after(kRetryDelay, [this, &user] { cancel(user); });
+           simulation.schedule_after(kRetryDelay, [this, &user] { cancel(user); });
        });
 }
 
@@ -154,8 +156,8 @@
     if (!chosen) continue;
     --count;
     environment_.evidence.add(Evidence::cancelled_together);
-    simulation.after(millis(simulation.pick(kMaxJointCancellationDelayMillis)),
-                     [this, user = user.get()] { cancel(*user); });
+    simulation.schedule_after(millis(simulation.random_index(kMaxJointCancellationDelayMillis)),
+                              [this, user = user.get()] { cancel(*user); });
   }
 }
 
@@ -168,11 +170,13 @@
     if (!chosen) continue;
     user->acted_on_job_end = true;
     environment_.evidence.add(Evidence::job_end_raced);
-    simulation.after(millis(simulation.pick(kMaxRaceActionDelayMillis)), [this, user = user.get()] {
-      if (!user->cancelling && environment_.simulation.chance() < 0.5) cancel(*user);
-    });
-    simulation.after(millis(simulation.pick(kMaxRaceActionDelayMillis)),
-                     [this, user = user.get()] { submit(*user, environment_.simulation.now()); });
+    simulation.schedule_after(millis(simulation.random_index(kMaxRaceActionDelayMillis)),
+                              [this, user = user.get()] {
+                                if (!user->cancelling && environment_.simulation.random_fraction() < 0.5)
+                                  cancel(*user);
+                              });
+    simulation.schedule_after(millis(simulation.random_index(kMaxRaceActionDelayMillis)),
+                              [this, user = user.get()] { submit(*user, environment_.simulation.now()); });
   }
 }
 
@@ -180,7 +184,7 @@
 
 void SimulatedUsers::send_unusual_requests() {
   poll_unknown_job();
-  environment_.simulation.after(kUnusualRequestInterval, [this] { send_unusual_requests(); });
+  environment_.simulation.schedule_after(kUnusualRequestInterval, [this] { send_unusual_requests(); });
   if (!environment_.scenario.users_submit_invalid_jobs) return;
   resubmit_malformed();
   submit_invalid();
@@ -196,7 +200,7 @@
 }
 
 void SimulatedUsers::resubmit_malformed() {
-  User& user = *environment_.simulation.pick_from(users_);
+  User& user = *environment_.simulation.random_element(users_);
   if (!user.accepted) return;
   const Micros sent_at = environment_.simulation.now();
   send(
@@ -213,7 +217,7 @@
 void SimulatedUsers::submit_invalid() {
   JobSpec job = users_.front()->job;
   job.id = kInvalidJob;
-  if (environment_.simulation.chance() < 0.5)
+  if (environment_.simulation.random_fraction() < 0.5)
     job.team = "nobody";
   else
     job.types = {"nothing"};
--- a/tests/sim/simulated_users_jobs.cpp
+++ b/tests/sim/simulated_users_jobs.cpp
@@ -18,9 +18,9 @@
   for (int i = 0; i < scenario.jobs; ++i) {
     auto user = std::make_unique<User>();
     user->job = random_job(i);
-    user->submit_at = seconds(3 + simulation.chance() * (scenario.submit_at_once ? 1 : 140));
-    if (simulation.chance() < kCancellationProbability && !scenario.impatient_users)
-      user->cancel_at = user->submit_at + seconds(2 + simulation.chance() * 40);
+    user->submit_at = seconds(3 + simulation.random_fraction() * (scenario.submit_at_once ? 1 : 140));
+    if (simulation.random_fraction() < kCancellationProbability && !scenario.impatient_users)
+      user->cancel_at = user->submit_at + seconds(2 + simulation.random_fraction() * 40);
     environment_.jobs[user->job.id] = user->job;
     users_.push_back(std::move(user));
   }
@@ -30,13 +30,14 @@
   Simulation& simulation = environment_.simulation;
   const bool impatient = environment_.scenario.impatient_users;
   JobSpec job;
-  job.id = "run-" + std::to_string(1000 + simulation.pick(100'000) * 100 + number);
-  job.team = simulation.chance() < 0.5 ? "blue" : "green";
+  job.id = "run-" + std::to_string(1000 + simulation.random_index(100'000) * 100 + number);
+  job.team = simulation.random_fraction() < 0.5 ? "blue" : "green";
   job.job_class = "class";
-  job.image = "image-" + std::to_string(simulation.pick(3));
+  job.image = "image-" + std::to_string(simulation.random_index(3));
   job.image_gb = 1.0;
   job.task_resources = {2000, 0, 4000};
-  if (simulation.chance() < (impatient ? kServiceProbabilityOfImpatientUsers : kServiceProbability)) {
+  if (simulation.random_fraction() <
+      (impatient ? kServiceProbabilityOfImpatientUsers : kServiceProbability)) {
     job.shape = Shape::service;
     job.tasks = 1;
     job.priority = Priority::high;
@@ -44,41 +45,41 @@
   }
   job = with_random_array_properties(std::move(job));
   if (impatient) {
-    job.tasks = static_cast<std::uint32_t>(1 + simulation.pick(3));
-    job.estimated_task_duration = seconds(3 + simulation.chance() * 5);
+    job.tasks = static_cast<std::uint32_t>(1 + simulation.random_index(3));
+    job.estimated_task_duration = seconds(3 + simulation.random_fraction() * 5);
   }
   return job;
 }
 
 JobSpec SimulatedUsers::with_random_array_properties(JobSpec job) {
   Simulation& simulation = environment_.simulation;
-  job.tasks = static_cast<std::uint32_t>(1 + simulation.pick(24));
-  job.estimated_task_duration = seconds(4 + simulation.chance() * 10);
-  job.spot = simulation.chance() < 0.5;
+  job.tasks = static_cast<std::uint32_t>(1 + simulation.random_index(24));
+  job.estimated_task_duration = seconds(4 + simulation.random_fraction() * 10);
+  job.spot = simulation.random_fraction() < 0.5;
   job.deadline = seconds(120);
   if (environment_.scenario.long_tasks) {
-    const int task_count_range = simulation.chance() < 0.7 ? 2 : 8;
-    job.tasks = 2 + static_cast<std::uint32_t>(simulation.pick(task_count_range));
-    job.estimated_task_duration = seconds(30 + simulation.chance() * 50);
+    const int task_count_range = simulation.random_fraction() < 0.7 ? 2 : 8;
+    job.tasks = 2 + static_cast<std::uint32_t>(simulation.random_index(task_count_range));
+    job.estimated_task_duration = seconds(30 + simulation.random_fraction() * 50);
   }
-  if (simulation.chance() < 0.3) {
+  if (simulation.random_fraction() < 0.3) {
     job.checkpoint_interval = seconds(2);
     job.save_duration = seconds(1);
   }
   job = with_random_zone_constraint(std::move(job));
-  if (simulation.chance() < 0.2) job.types = {"large"};
+  if (simulation.random_fraction() < 0.2) job.types = {"large"};
   return job;
 }
 
 JobSpec SimulatedUsers::with_random_zone_constraint(JobSpec job) {
   Simulation& simulation = environment_.simulation;
-  const double choice = simulation.chance() * (environment_.scenario.zone_bound ? 0.4 : 1);
+  const double choice = simulation.random_fraction() * (environment_.scenario.zone_bound ? 0.4 : 1);
   if (choice < 0.12)
     job.one_zone = true;
   else if (choice < 0.24)
     job.spread = true;
   else if (choice < 0.4)
-    job.zone = simulation.chance() < 0.5 ? "east" : "west";
+    job.zone = simulation.random_fraction() < 0.5 ? "east" : "west";
   return job;
 }
 
--- a/tests/sim/simulation.cpp
+++ b/tests/sim/simulation.cpp
@@ -2,7 +2,7 @@
 
 namespace bendtide::sim {
 
-void Simulation::at(Micros time, Event event) {
+void Simulation::schedule_at(Micros time, Event event) {
   ++scheduled_count_;
   events_.emplace(std::pair(time, scheduled_count_), std::move(event));
 }
--- a/tests/sim/simulation.h
+++ b/tests/sim/simulation.h
@@ -22,20 +22,20 @@
   Micros now() const { return now_; }
   /// Schedules an event for an absolute virtual time. Events with equal times run in the order in which they
   /// were scheduled.
-  void at(Micros time, Event event);
+  void schedule_at(Micros time, Event event);
   /// Schedules an event for `delay` after the current virtual time.
-  void after(Micros delay, Event event) { at(now_ + delay, std::move(event)); }
+  void schedule_after(Micros delay, Event event) { schedule_at(now_ + delay, std::move(event)); }
   /// Runs the events in order of their times until none is left that is due at or before `end`.
   void run_until(Micros end);
 
   /// Returns a random number, uniformly distributed in [0, 1).
-  double chance() { return std::uniform_real_distribution<double>(0, 1)(random_); }
+  double random_fraction() { return std::uniform_real_distribution<double>(0, 1)(random_); }
   /// Returns a random integer, uniformly distributed in [0, count).
-  int pick(int count) { return std::uniform_int_distribution<int>(0, count - 1)(random_); }
+  int random_index(int count) { return std::uniform_int_distribution<int>(0, count - 1)(random_); }
   /// Returns a random element of a container that is not empty.
   template <class Container>
-  auto& pick_from(Container& items) {
-    return items[static_cast<std::size_t>(pick(static_cast<int>(items.size())))];
+  auto& random_element(Container& items) {
+    return items[static_cast<std::size_t>(random_index(static_cast<int>(items.size())))];
   }
 
  private:
