--- a/tests/decision_digest_main.cpp
+++ b/tests/decision_digest_main.cpp
@@ -61,7 +61,8 @@
 
 void execute(ScenarioRun& run) {
   SimulatedCluster cluster(run.scenario);
-  cluster.observe([&run](const std::string& host, const Action& action) { run.digest.add(host, action); });
+  cluster.set_action_observer(
+      [&run](const std::string& host, const Action& action) { run.digest.add(host, action); });
   cluster.run();
 }
 
--- a/tests/late_answer_test.cpp
+++ b/tests/late_answer_test.cpp
@@ -215,13 +215,13 @@
     SimulatedCluster cluster(impatient_users_scenario(seed));
     cluster.run();
     EXPECT_EQ(cluster.checker().summary(), "") << "seed " << seed;
-    EXPECT_EQ(cluster.unfinished(), std::vector<std::string>{}) << "seed " << seed;
-    EXPECT_EQ(cluster.inconsistent_sums(), 0u) << "seed " << seed;
-    EXPECT_EQ(cluster.seen(Evidence::error_logged), 0u) << "seed " << seed;
+    EXPECT_EQ(cluster.unfinished_jobs(), std::vector<std::string>{}) << "seed " << seed;
+    EXPECT_EQ(cluster.inconsistent_sum_count(), 0u) << "seed " << seed;
+    EXPECT_EQ(cluster.evidence_count(Evidence::error_logged), 0u) << "seed " << seed;
     EXPECT_EQ(cluster.checker().starts_after_cancel(), 0u) << "seed " << seed;
     for (const Evidence evidence :
          {Evidence::store_response_delayed, Evidence::job_cancelled_at_acceptance, Evidence::shard_acquired})
-      EXPECT_GT(cluster.seen(evidence), 0u) << evidence << ", seed " << seed;
+      EXPECT_GT(cluster.evidence_count(evidence), 0u) << evidence << ", seed " << seed;
     failed_seeds += cluster.checker().summary().empty() ? 0 : 1;
   }
   RecordProperty("seeds_with_violations", static_cast<int>(failed_seeds));
--- a/tests/scheduled_faults_test.cpp
+++ b/tests/scheduled_faults_test.cpp
@@ -290,9 +290,11 @@
 }
 
 void expect_situation_occurred(const SimulatedCluster& cluster, const NamedScenario& named) {
-  EXPECT_EQ(cluster.seen(Evidence::scheduled_fault_injected), named.faults.size());
-  for (const Evidence evidence : named.forbidden_evidence) EXPECT_EQ(cluster.seen(evidence), 0u) << evidence;
-  for (const Evidence evidence : named.required_evidence) EXPECT_GT(cluster.seen(evidence), 0u) << evidence;
+  EXPECT_EQ(cluster.evidence_count(Evidence::scheduled_fault_injected), named.faults.size());
+  for (const Evidence evidence : named.forbidden_evidence)
+    EXPECT_EQ(cluster.evidence_count(evidence), 0u) << evidence;
+  for (const Evidence evidence : named.required_evidence)
+    EXPECT_GT(cluster.evidence_count(evidence), 0u) << evidence;
 }
 
 class ScheduledFaults : public testing::TestWithParam<std::tuple<std::size_t, std::uint64_t>> {};
@@ -303,9 +305,9 @@
   SimulatedCluster cluster(make_scenario(named, seed));
   cluster.run();
   EXPECT_EQ(cluster.checker().summary(), "");
-  EXPECT_EQ(cluster.unfinished(), std::vector<std::string>{});
-  EXPECT_EQ(cluster.inconsistent_sums(), 0u);
-  EXPECT_EQ(cluster.seen(Evidence::error_logged), 0u);
+  EXPECT_EQ(cluster.unfinished_jobs(), std::vector<std::string>{});
+  EXPECT_EQ(cluster.inconsistent_sum_count(), 0u);
+  EXPECT_EQ(cluster.evidence_count(Evidence::error_logged), 0u);
   EXPECT_EQ(cluster.checker().starts_after_cancel(), 0u);
   expect_situation_occurred(cluster, named);
 }
--- a/tests/sim/simulated_cluster.cpp
+++ b/tests/sim/simulated_cluster.cpp
@@ -92,7 +92,7 @@
   return ids;
 }
 
-std::size_t SimulatedCluster::unreachable_machines() const {
+std::size_t SimulatedCluster::unreachable_machine_count() const {
   const auto& machines = machines_.cloud().machines();
   return static_cast<std::size_t>(std::count_if(machines.begin(), machines.end(), [](const auto& entry) {
     return entry.second.is_up() && entry.second.worker->unreachable_inbound;
--- a/tests/sim/simulated_cluster.h
+++ b/tests/sim/simulated_cluster.h
@@ -23,28 +23,30 @@
   explicit SimulatedCluster(const FaultScenario& scenario);
 
   /// Sets an observer that is called with each action of a controller immediately before it is performed.
-  void observe(SimulatedControllers::ActionObserver observer) { controllers_.observe(std::move(observer)); }
+  void set_action_observer(SimulatedControllers::ActionObserver observer) {
+    controllers_.set_action_observer(std::move(observer));
+  }
   /// Runs the scenario from start to end. May be called only once.
   void run();
 
   const Checker& checker() const { return environment_.checker; }
   const SimulatedKeyValueStore& store() const { return environment_.store; }
   /// Returns how often the given kind of evidence was recorded.
-  std::size_t seen(Evidence evidence) const { return environment_.evidence.count(evidence); }
+  std::size_t evidence_count(Evidence evidence) const { return environment_.evidence.count(evidence); }
   /// Returns a description of each job that has not reached its expected state by the end of the run.
-  std::vector<std::string> unfinished() const { return users_.unfinished(); }
+  std::vector<std::string> unfinished_jobs() const { return users_.unfinished_jobs(); }
   /// Returns the number of proposals that were awarded.
-  std::uint64_t awards() const { return controllers_.awards(); }
+  std::uint64_t award_count() const { return controllers_.award_count(); }
   /// Returns how often the incrementally updated sums of a shard differed from freshly computed ones.
-  std::size_t inconsistent_sums() const { return controllers_.inconsistent_sums(); }
+  std::size_t inconsistent_sum_count() const { return controllers_.inconsistent_sum_count(); }
   /// Returns the ids of the jobs with tasks that have waited for free resources for a while, and for which no
   /// machine is being provisioned yet. Leaves out refused jobs and those whose shard's quota share is
   /// exhausted.
   std::set<std::string> unprovisioned_jobs() const;
   /// Returns the number of running machines that neither commands nor heartbeat responses reach.
-  std::size_t unreachable_machines() const;
+  std::size_t unreachable_machine_count() const;
   /// Returns the highest number of tasks that failed on a single machine.
-  std::size_t most_failures_on_a_machine() const { return max_failures_on_a_machine_; }
+  std::size_t max_failures_on_a_machine() const { return max_failures_on_a_machine_; }
 
  private:
   /// Advances all machines to the current virtual time, and schedules itself again.
--- a/tests/sim/simulated_controllers.cpp
+++ b/tests/sim/simulated_controllers.cpp
@@ -70,7 +70,7 @@
   deliver(host, incarnation, [](Controller& core) { core.tick(); });
   if (host.is_up() && host.incarnation == incarnation)
     for (const auto& [name, shard] : host.core->state().shards)
-      if (!shard.sums_are_consistent()) ++inconsistent_sums_;
+      if (!shard.sums_are_consistent()) ++inconsistent_sum_count_;
   environment_.simulation.schedule_after(kTickInterval,
                                          [this, &host, incarnation] { tick(host, incarnation); });
 }
@@ -151,7 +151,7 @@
   });
 }
 
-std::uint64_t SimulatedControllers::awards() const {
+std::uint64_t SimulatedControllers::award_count() const {
   std::uint64_t awards = awards_by_ended_processes_;
   for (const auto& host : hosts_)
     if (host->is_up()) awards += host->core->contract_net().counters().awards;
--- a/tests/sim/simulated_controllers.h
+++ b/tests/sim/simulated_controllers.h
@@ -50,7 +50,7 @@
 
   SimulatedControllers(Environment& environment, SimulatedMachines& machines, SimulatedNetwork& network);
 
-  void observe(ActionObserver observer) { observer_ = std::move(observer); }
+  void set_action_observer(ActionObserver observer) { observer_ = std::move(observer); }
   /// Schedules the first start of each controller at a random time within the first second.
   void start_all();
   /// Crashes the process and restarts it after `restart_after`. Does nothing if the process is down.
@@ -73,9 +73,9 @@
   /// Reports the start commands among `commands` to the checker, which detects starts of cancelled jobs.
   void record_starts(const std::vector<Command>& commands);
   /// Returns the number of proposals that were awarded.
-  std::uint64_t awards() const;
+  std::uint64_t award_count() const;
   /// Returns how often the incrementally updated sums of a shard differed from freshly computed ones.
-  std::size_t inconsistent_sums() const { return inconsistent_sums_; }
+  std::size_t inconsistent_sum_count() const { return inconsistent_sum_count_; }
 
  private:
   /// A request from a controller to another host. It completes once, with the response or at the timeout.
@@ -133,7 +133,7 @@
   std::vector<std::unique_ptr<ControllerHost>> hosts_;
   std::uint64_t started_processes_ = 0;          ///< number of processes started so far
   std::uint64_t awards_by_ended_processes_ = 0;  ///< awards made by processes that have ended
-  std::size_t inconsistent_sums_ = 0;
+  std::size_t inconsistent_sum_count_ = 0;
 };
 
 }  // namespace bendtide::sim
--- a/tests/sim/simulated_users.cpp
+++ b/tests/sim/simulated_users.cpp
@@ -233,7 +233,7 @@
 
 // ---- end of the run ------------------------------------------------------------------------------
 
-std::vector<std::string> SimulatedUsers::unfinished() const {
+std::vector<std::string> SimulatedUsers::unfinished_jobs() const {
   std::vector<std::string> unfinished;
   for (const auto& user : users_) {
     const std::string& id = user->job.id;
--- a/tests/sim/simulated_users.h
+++ b/tests/sim/simulated_users.h
@@ -47,7 +47,7 @@
   const std::vector<std::unique_ptr<User>>& all() const { return users_; }
   /// Returns a description of each job that has not reached its expected state by the end of the run:
   /// accepted, running if it is a service that nobody cancelled, and finished otherwise.
-  std::vector<std::string> unfinished() const;
+  std::vector<std::string> unfinished_jobs() const;
 
  private:
   /// Returns a random job; `number` makes its id unique.
--- a/tests/simulated_cluster_test.cpp
+++ b/tests/simulated_cluster_test.cpp
@@ -23,10 +23,10 @@
   SimulatedCluster cluster(scenario);
   cluster.run();
   EXPECT_EQ(cluster.checker().summary(), "");
-  EXPECT_EQ(cluster.unfinished(), std::vector<std::string>{});
+  EXPECT_EQ(cluster.unfinished_jobs(), std::vector<std::string>{});
   EXPECT_EQ(cluster.store().too_large(), 0u);
-  EXPECT_EQ(cluster.inconsistent_sums(), 0u);
-  EXPECT_EQ(cluster.seen(Evidence::error_logged), 0u);
+  EXPECT_EQ(cluster.inconsistent_sum_count(), 0u);
+  EXPECT_EQ(cluster.evidence_count(Evidence::error_logged), 0u);
 }
 
 class RandomFaults : public testing::TestWithParam<std::uint64_t> {};
@@ -98,7 +98,7 @@
   cluster.run();
   EXPECT_EQ(cluster.checker().summary(), "");
   // Eight tasks fit on a machine at once: allows for those of two jobs, and of a third one placed meanwhile.
-  EXPECT_LE(cluster.most_failures_on_a_machine(), 24u);
+  EXPECT_LE(cluster.max_failures_on_a_machine(), 24u);
 }
 
 // The first forty jobs of a queue used to call for proposals repeatedly, and no machine was provisioned for
@@ -132,7 +132,7 @@
   SimulatedCluster cluster(scenario);
   cluster.run();
   EXPECT_EQ(cluster.checker().summary(), "");
-  EXPECT_EQ(cluster.unfinished(), std::vector<std::string>{});
+  EXPECT_EQ(cluster.unfinished_jobs(), std::vector<std::string>{});
   EXPECT_EQ(cluster.store().too_large(), 0u);
 }
 
@@ -151,8 +151,8 @@
   SimulatedCluster cluster(scenario);
   cluster.run();
   EXPECT_EQ(cluster.checker().summary(), "");
-  EXPECT_EQ(cluster.unfinished(), std::vector<std::string>{});
-  EXPECT_EQ(cluster.unreachable_machines(), 0u);
+  EXPECT_EQ(cluster.unfinished_jobs(), std::vector<std::string>{});
+  EXPECT_EQ(cluster.unreachable_machine_count(), 0u);
 }
 
 INSTANTIATE_TEST_SUITE_P(Seeds, UnreachableMachines, testing::Range<std::uint64_t>(1, 10));
@@ -166,9 +166,9 @@
   SimulatedCluster cluster(scenario);
   cluster.run();
   EXPECT_EQ(cluster.checker().summary(), "");
-  EXPECT_EQ(cluster.unfinished(), std::vector<std::string>{});
+  EXPECT_EQ(cluster.unfinished_jobs(), std::vector<std::string>{});
   EXPECT_EQ(cluster.store().refused(), 0u);
-  EXPECT_GT(cluster.awards(), 0u);
+  EXPECT_GT(cluster.award_count(), 0u);
 }
 
 struct PlantedDefectCase {
