--- a/tests/sim/fault_injector.cpp
+++ b/tests/sim/fault_injector.cpp
@@ -99,7 +99,7 @@
 FaultInjector::Injection FaultInjector::scheduled_injection(const ScheduledFault& fault) {
   environment_.evidence.add(Evidence::scheduled_fault_injected);
   ControllerHost& controller = fault.controller == kBusiestController
-                                   ? controllers_.busiest()
+                                   ? controllers_.host_with_most_machines()
                                    : *controllers_.hosts().at(static_cast<std::size_t>(fault.controller));
   return {
       fault.kind, true, &controller, fault.hold, fault.duration, fault.count, machines_.busiest(fault.count)};
@@ -154,7 +154,7 @@
 
 void FaultInjector::pause_controller(const Injection& injection) {
   Simulation& simulation = environment_.simulation;
-  injection.controller->pauses_for =
+  injection.controller->next_pause =
       injection.scheduled ? injection.duration
                           : seconds(0.2 + simulation.random_fraction() * simulation.random_fraction() * 30);
 }
--- a/tests/sim/heartbeat_exchange.cpp
+++ b/tests/sim/heartbeat_exchange.cpp
@@ -64,7 +64,7 @@
   HeartbeatReply sent = reply;
   sent.commands = defects.commands_to_deliver(std::move(sent.commands));
   for (Command& command : defects.added(reply.commands)) sent.commands.push_back(std::move(command));
-  controllers_.record_starts(sent.commands);
+  controllers_.report_starts_to_checker(sent.commands);
   defects.start_elsewhere(reply, heartbeat.machine, machines_.cloud(), environment_.simulation.now());
   network_.send(host.name, heartbeat.machine,
                 [this, heartbeat, status = sent.status, body = wire::body_of(sent)] {
--- a/tests/sim/simulated_controllers.cpp
+++ b/tests/sim/simulated_controllers.cpp
@@ -59,7 +59,7 @@
   awards_by_ended_processes_ += host.core->contract_net().counters().awards;
   host.core.reset();
   host.paused_until = Micros{0};
-  host.pauses_for = Micros{0};
+  host.next_pause = Micros{0};
   host.user_requests.clear();
   host.heartbeats.clear();
   environment_.simulation.schedule_after(restart_after, [this, &host] { start(host); });
@@ -83,8 +83,8 @@
                                   [this, &host, incarnation, event] { deliver(host, incarnation, event); });
   host.core->set_clocks(steady_time(host), simulation.now() + kWallClockOffset);
   event(*host.core);
-  if (host.pauses_for == Micros{0}) return perform_actions(host, incarnation);
-  host.paused_until = simulation.now() + std::exchange(host.pauses_for, Micros{0});
+  if (host.next_pause == Micros{0}) return perform_actions(host, incarnation);
+  host.paused_until = simulation.now() + std::exchange(host.next_pause, Micros{0});
   simulation.schedule_at(host.paused_until,
                          [this, &host, incarnation] { perform_actions(host, incarnation); });
 }
@@ -139,7 +139,7 @@
   return nullptr;
 }
 
-ControllerHost& SimulatedControllers::busiest() {
+ControllerHost& SimulatedControllers::host_with_most_machines() {
   auto machines = [](const std::unique_ptr<ControllerHost>& host) {
     std::size_t count = 0;
     if (host->is_up())
@@ -158,7 +158,7 @@
   return awards;
 }
 
-void SimulatedControllers::record_starts(const std::vector<Command>& commands) {
+void SimulatedControllers::report_starts_to_checker(const std::vector<Command>& commands) {
   const Micros now = environment_.simulation.now();
   for (const Command& command : commands) {
     if (command.kind != Command::Kind::start) continue;
--- a/tests/sim/simulated_controllers.h
+++ b/tests/sim/simulated_controllers.h
@@ -25,7 +25,7 @@
   Micros paused_until{0};            ///< no event is delivered and no action performed before this time
   /// The process pauses for this long between handling the next event and performing its actions. Zero: it
   /// does not pause.
-  Micros pauses_for{0};
+  Micros next_pause{0};
   std::uint64_t next_request = 1;
   // Requests that the current process has not answered yet, by request number.
   std::map<std::uint64_t, std::function<void(const UserReply&)>> user_requests;
@@ -62,7 +62,7 @@
   /// Returns null if there is no host with that name.
   ControllerHost* find(const std::string& host);
   /// Returns the host whose controller leads the most machines.
-  ControllerHost& busiest();
+  ControllerHost& host_with_most_machines();
 
   /// Sends a user's request to a controller; `reaction` receives the reply or null.
   void send_user_request(ControllerHost& host, const UserRequest& request, const UserReaction& reaction);
@@ -71,7 +71,7 @@
   void deliver_admin_request(ControllerHost& host, const AdminRequest& request);
 
   /// Reports the start commands among `commands` to the checker, which detects starts of cancelled jobs.
-  void record_starts(const std::vector<Command>& commands);
+  void report_starts_to_checker(const std::vector<Command>& commands);
   /// Returns the number of proposals that were awarded.
   std::uint64_t award_count() const;
   /// Returns how often the incrementally updated sums of a shard differed from freshly computed ones.
--- a/tests/sim/simulated_controllers_actions.cpp
+++ b/tests/sim/simulated_controllers_actions.cpp
@@ -112,7 +112,7 @@
 }
 
 void SimulatedControllers::perform(ControllerHost& host, const WorkerCall& action) {
-  record_starts(action.request.commands);
+  report_starts_to_checker(action.request.commands);
   const std::string& address = action.request.address;
   const std::string machine = address.substr(0, address.find(':'));
   CommandRequest delivered = action.request;
