--- a/tests/sim/simulated_key_value_store.cpp
+++ b/tests/sim/simulated_key_value_store.cpp
@@ -55,7 +55,7 @@
   expire_leases(now);
   if (outage_) return {503, "{}"};
   if (!request_bucket_.try_take(now)) {
-    ++rate_limited_;
+    ++rate_limited_requests_;
     return {429, "{}"};
   }
   if (request.method == "GET")
@@ -112,16 +112,16 @@
   const json& writes = body.at(kWrites);
   const json& compares = body.at(kCompares);
   if (writes.size() > max_writes_ || compares.size() > 4 * max_writes_) {
-    ++too_large_;
+    ++oversized_requests_;
     return {400, "{}"};
   }
   if (!write_bucket_.try_take(now, static_cast<double>(writes.size()))) {
-    ++rate_limited_;
+    ++rate_limited_requests_;
     return {429, "{}"};
   }
   for (const json& write : writes) {
     if (write.contains(kPut) && write.at(kValue).dump().size() > max_value_bytes_) {
-      ++too_large_;
+      ++oversized_requests_;
       return {400, "{}"};
     }
     if (write.contains(kLease) && !leases_.contains(write.at(kLease).get<std::uint64_t>()))
--- a/tests/sim/simulated_key_value_store.h
+++ b/tests/sim/simulated_key_value_store.h
@@ -28,15 +28,15 @@
   /// lease gets its full term again when the outage ends.
   void set_outage(bool on, Micros now);
   /// Returns the number of keys.
-  std::size_t keys() const { return entries_.size(); }
+  std::size_t key_count() const { return entries_.size(); }
   /// Returns all entries and leases, with their revisions.
   nlohmann::json snapshot() const;
   /// Replaces the contents by those of a snapshot. Each lease gets its full term again.
   void restore(const nlohmann::json& snapshot, Micros now);
   /// Returns the number of requests rejected by a rate limit.
-  std::size_t refused() const { return rate_limited_; }
+  std::size_t rate_limited_requests() const { return rate_limited_requests_; }
   /// Returns the number of requests rejected by a size limit.
-  std::size_t too_large() const { return too_large_; }
+  std::size_t oversized_requests() const { return oversized_requests_; }
 
  private:
   struct Entry {  // NOLINT(bugprone-exception-escape): moving a JSON value does not throw
@@ -68,8 +68,8 @@
   std::uint64_t revision_ = 1;
   std::uint64_t next_lease_ = 1;
   bool outage_ = false;
-  std::size_t rate_limited_ = 0;
-  std::size_t too_large_ = 0;
+  std::size_t rate_limited_requests_ = 0;
+  std::size_t oversized_requests_ = 0;
 };
 
 }  // namespace bendtide::sim
--- a/tests/simulated_cluster_test.cpp
+++ b/tests/simulated_cluster_test.cpp
@@ -24,7 +24,7 @@
   cluster.run();
   EXPECT_EQ(cluster.checker().summary(), "");
   EXPECT_EQ(cluster.unfinished_jobs(), std::vector<std::string>{});
-  EXPECT_EQ(cluster.store().too_large(), 0u);
+  EXPECT_EQ(cluster.store().oversized_requests(), 0u);
   EXPECT_EQ(cluster.inconsistent_sum_count(), 0u);
   EXPECT_EQ(cluster.evidence_count(Evidence::error_logged), 0u);
 }
@@ -133,7 +133,7 @@
   cluster.run();
   EXPECT_EQ(cluster.checker().summary(), "");
   EXPECT_EQ(cluster.unfinished_jobs(), std::vector<std::string>{});
-  EXPECT_EQ(cluster.store().too_large(), 0u);
+  EXPECT_EQ(cluster.store().oversized_requests(), 0u);
 }
 
 // A machine that is unreachable inbound is never silent long enough to be replaced for its silence, because
@@ -167,7 +167,7 @@
   cluster.run();
   EXPECT_EQ(cluster.checker().summary(), "");
   EXPECT_EQ(cluster.unfinished_jobs(), std::vector<std::string>{});
-  EXPECT_EQ(cluster.store().refused(), 0u);
+  EXPECT_EQ(cluster.store().rate_limited_requests(), 0u);
   EXPECT_GT(cluster.award_count(), 0u);
 }
 
--- a/tests/size_test.cpp
+++ b/tests/size_test.cpp
@@ -62,7 +62,7 @@
   }
   std::size_t store_calls() const { return store_calls_; }
   /// Returns the number of store requests rejected by a size limit.
-  std::size_t too_large() const { return store_.too_large(); }
+  std::size_t oversized_requests() const { return store_.oversized_requests(); }
   std::size_t cloud_calls() const { return cloud_calls_; }
   /// Returns the number of machines that the controller has deleted.
   std::size_t deleted() const { return deleted_; }
@@ -273,7 +273,7 @@
   // The calls write 1,700 machines, in blocks of at most the size limit of a value, and 170 jobs. They
   // include the periodic reads of twenty seconds.
   EXPECT_LE(large.store_calls(), 500u);
-  EXPECT_EQ(large.too_large(), 0u);
+  EXPECT_EQ(large.oversized_requests(), 0u);
 }
 
 // A restarted process reads each record once, and sends its fencing token to each machine without waiting for
