--- a/lab/worker_fleet.cpp
+++ b/lab/worker_fleet.cpp
@@ -167,10 +167,11 @@
 }
 
 int WorkerFleet::target_controller(sim::SimulatedWorker& worker) {
-  if (worker.target.empty())
-    worker.target = Laboratory::host_name(static_cast<int>(worker.next_controller++ % kControllerCount));
+  if (worker.target_controller.empty())
+    worker.target_controller =
+        Laboratory::host_name(static_cast<int>(worker.next_controller++ % kControllerCount));
   for (int i = 0; i < kControllerCount; ++i)
-    if (Laboratory::host_name(i) == worker.target) return i;
+    if (Laboratory::host_name(i) == worker.target_controller) return i;
   return 0;
 }
 
@@ -195,15 +196,15 @@
     co_await lab_.loop.sleep(kPollInterval);
     self = worker(machine);
   }
-  if (self == nullptr || !self->awaits_answer() || self->heartbeat_number() != number) co_return;
+  if (self == nullptr || !self->heartbeat_in_flight() || self->heartbeat_number() != number) co_return;
   const bool in_time = lab_.now() - sent_at < kHeartbeatTimeout;
   if (result.status == 0 || !in_time || self->unreachable_inbound) {
-    self->heartbeat_failed(lab_.now());
+    self->on_heartbeat_failure(lab_.now());
     co_return;
   }
   const std::string response = result.status == 200 ? with_planted_defect(machine, result.body) : result.body;
   if (result.status == 200) record_commands(machine, response, "heartbeat response");
-  self->heartbeat_answered(result.status, response, lab_.now());
+  self->on_heartbeat_response(result.status, response, lab_.now());
 }
 
 io::Task<> WorkerFleet::send_late_duplicate(std::string body) {
--- a/tests/sim/heartbeat_exchange.cpp
+++ b/tests/sim/heartbeat_exchange.cpp
@@ -20,8 +20,9 @@
   Simulation& simulation = environment_.simulation;
   SimulatedWorker& worker = *machine.worker;
   const auto& hosts = controllers_.hosts();
-  if (worker.target.empty()) worker.target = hosts[worker.next_controller++ % hosts.size()]->name;
-  const std::string target = worker.target;
+  if (worker.target_controller.empty())
+    worker.target_controller = hosts[worker.next_controller++ % hosts.size()]->name;
+  const std::string target = worker.target_controller;
   const std::string body = worker.begin_heartbeat(simulation.now());
   const Heartbeat heartbeat{machine.name, worker.heartbeat_number(), body};
   send_copies(body);
@@ -75,17 +76,17 @@
 void HeartbeatExchange::deliver_reply(const Heartbeat& heartbeat, int status, const std::string& body) {
   SimulatedWorker* worker = awaiting_worker(heartbeat);
   if (worker != nullptr && !worker->unreachable_inbound)
-    worker->heartbeat_answered(status, body, environment_.simulation.now());
+    worker->on_heartbeat_response(status, body, environment_.simulation.now());
 }
 
 void HeartbeatExchange::fail(const Heartbeat& heartbeat) {
   if (SimulatedWorker* worker = awaiting_worker(heartbeat))
-    worker->heartbeat_failed(environment_.simulation.now());
+    worker->on_heartbeat_failure(environment_.simulation.now());
 }
 
 SimulatedWorker* HeartbeatExchange::awaiting_worker(const Heartbeat& heartbeat) {
   SimulatedWorker* worker = machines_.running_worker(heartbeat.machine);
-  const bool awaits = worker != nullptr && worker->awaits_answer() &&
+  const bool awaits = worker != nullptr && worker->heartbeat_in_flight() &&
                       worker->heartbeat_number() == heartbeat.number && !worker->hanging;
   return awaits ? worker : nullptr;
 }
--- a/tests/sim/simulated_cluster.cpp
+++ b/tests/sim/simulated_cluster.cpp
@@ -50,7 +50,7 @@
   for (auto& [name, machine] : machines_.cloud().machines()) {
     if (!machine.is_up()) continue;
     machine.worker->advance(now);
-    max_failures_on_a_machine_ = std::max(max_failures_on_a_machine_, machine.worker->failures);
+    max_failures_on_a_machine_ = std::max(max_failures_on_a_machine_, machine.worker->failed_tasks);
     if (machine.worker->heartbeat_due(now)) heartbeats_.send(machine);
   }
   environment_.checker.check_cancelled_jobs(now);
--- a/tests/sim/simulated_worker.cpp
+++ b/tests/sim/simulated_worker.cpp
@@ -80,7 +80,7 @@
   if (!fails_tasks) return;
   hooks_.checker->task_ended(key.first, machine_.name);
   task = {TaskPhase::exited, ExitCause::failed, now};
-  ++failures;
+  ++failed_tasks;
 }
 
 // ---- heartbeats ---------------------------------------------------------------------------------
@@ -101,14 +101,14 @@
 }
 
 bool SimulatedWorker::heartbeat_due(Micros now) const {
-  if (hanging || machine_.dead || awaits_answer_ || now < retry_at_) return false;
+  if (hanging || machine_.dead || heartbeat_in_flight_ || now < retry_at_) return false;
   const Micros pause = now - heartbeat_began_at_;
   return pause >= settings_.heartbeat_interval ||
          (changed_since_heartbeat_ && pause >= kMinHeartbeatInterval);
 }
 
 std::string SimulatedWorker::begin_heartbeat(Micros now) {
-  awaits_answer_ = true;
+  heartbeat_in_flight_ = true;
   changed_since_heartbeat_ = false;
   heartbeat_began_at_ = now;
   incarnation_at_heartbeat_ = incarnation_;
@@ -116,25 +116,25 @@
   return wire::body_of(status());
 }
 
-void SimulatedWorker::heartbeat_failed(Micros now) {
-  awaits_answer_ = false;
-  target.clear();
+void SimulatedWorker::on_heartbeat_failure(Micros now) {
+  heartbeat_in_flight_ = false;
+  target_controller.clear();
   retry_at_ = now + kHeartbeatRetryDelay;
 }
 
-void SimulatedWorker::heartbeat_answered(int status, const std::string& body, Micros now) {
+void SimulatedWorker::on_heartbeat_response(int status, const std::string& body, Micros now) {
   if (status != 200) {
-    heartbeat_failed(now);
+    on_heartbeat_failure(now);
     if (status != 421) return;
     const json answer = json::parse(body);
     if (answer.contains(kRedirect)) {
-      target = answer.at(kRedirect).get<std::string>();
+      target_controller = answer.at(kRedirect).get<std::string>();
       retry_at_ = now;
       changed_since_heartbeat_ = true;
     }
     return;
   }
-  awaits_answer_ = false;
+  heartbeat_in_flight_ = false;
   if (incarnation_at_heartbeat_ != incarnation_) return;
   const json answer = json::parse(body);
   const auto token = answer.value(kFencingToken, std::uint64_t{0});
--- a/tests/sim/simulated_worker.h
+++ b/tests/sim/simulated_worker.h
@@ -33,14 +33,14 @@
   /// Returns whether the worker should send a heartbeat now.
   bool heartbeat_due(Micros now) const;
   /// Begins a heartbeat and returns its body. Only one heartbeat may be in flight: it must end with a call of
-  /// heartbeat_answered() or heartbeat_failed() before the next one begins.
+  /// on_heartbeat_response() or on_heartbeat_failure() before the next one begins.
   std::string begin_heartbeat(Micros now);
   /// Handles the response to the heartbeat in flight.
-  void heartbeat_answered(int status, const std::string& body, Micros now);
+  void on_heartbeat_response(int status, const std::string& body, Micros now);
   /// Handles the lack of a usable response. The next heartbeat goes to another controller, after a delay.
-  void heartbeat_failed(Micros now);
+  void on_heartbeat_failure(Micros now);
   /// Returns whether a heartbeat is in flight.
-  bool awaits_answer() const { return awaits_answer_; }
+  bool heartbeat_in_flight() const { return heartbeat_in_flight_; }
   /// Returns the number of the latest heartbeat that was begun.
   std::uint64_t heartbeat_number() const { return heartbeat_number_; }
 
@@ -60,13 +60,13 @@
   /// Restarts the worker as a new incarnation without tasks; it is up again immediately.
   void restart(Micros now) { begin_incarnation(now); }
 
-  std::string target;                 ///< host of the controller that gets its heartbeats; empty: unknown
-  std::size_t next_controller = 0;    ///< index of the next controller to try while `target` is empty
+  std::string target_controller;      ///< host of the controller that gets its heartbeats; empty: unknown
+  std::size_t next_controller = 0;    ///< index of the next to try while `target_controller` is empty
   bool hanging = false;               ///< it executes and sends nothing
   bool fails_tasks = false;           ///< each task fails as soon as it starts
   bool unreachable_inbound = false;   ///< neither commands nor heartbeat responses reach it
   bool unreachable_outbound = false;  ///< its heartbeats reach no controller
-  std::size_t failures = 0;           ///< number of tasks that failed on the machine
+  std::size_t failed_tasks = 0;       ///< number of tasks that failed on the machine
 
  private:
   using Key = std::pair<TaskId, std::uint64_t>;  ///< a task and the number of its attempt
@@ -100,7 +100,7 @@
   Micros retry_at_{0};  ///< no heartbeat is due before this time
   std::uint64_t heartbeat_number_ = 0;
   std::uint64_t incarnation_at_heartbeat_ = 0;  ///< incarnation that began the latest heartbeat
-  bool awaits_answer_ = false;
+  bool heartbeat_in_flight_ = false;
   bool changed_since_heartbeat_ = true;  ///< the state to report has changed since the latest heartbeat
   std::map<Key, LocalTask> tasks_;
   std::set<std::string> cached_images_;
