--- a/tests/sim/fault_injector.cpp
+++ b/tests/sim/fault_injector.cpp
@@ -92,7 +92,7 @@
   injection.controller = &controllers_.random_host();
   injection.hold = simulation.random_fraction() < 0.5;
   injection.duration = seconds(3 + simulation.random_fraction() * 30);
-  injection.machines = {machines_.random()};
+  injection.machines = {machines_.random_machine()};
   return injection;
 }
 
--- a/tests/sim/fault_injector_machines.cpp
+++ b/tests/sim/fault_injector_machines.cpp
@@ -17,7 +17,7 @@
 
 void FaultInjector::cut_workers(const ControllerHost& host, const std::string& zone,
                                 const Injection& injection) {
-  for (const std::string& machine : machines_.up(zone))
+  for (const std::string& machine : machines_.machines_up(zone))
     network_.cut(host.name, machine, injection.hold, injection.duration);
 }
 
--- a/tests/sim/simulated_machines.cpp
+++ b/tests/sim/simulated_machines.cpp
@@ -62,15 +62,15 @@
   return Micros{estimate * (8 + task.index % 5) / 10};
 }
 
-std::vector<std::string> SimulatedMachines::up(const std::string& zone) const {
+std::vector<std::string> SimulatedMachines::machines_up(const std::string& zone) const {
   std::vector<std::string> names;
   for (const auto& [name, machine] : cloud_.machines())
     if (machine.is_up() && (zone.empty() || machine.zone == zone)) names.push_back(name);
   return names;
 }
 
-std::string SimulatedMachines::random() {
-  const std::vector<std::string> names = up();
+std::string SimulatedMachines::random_machine() {
+  const std::vector<std::string> names = machines_up();
   return names.empty() ? "" : environment_.simulation.random_element(names);
 }
 
--- a/tests/sim/simulated_machines.h
+++ b/tests/sim/simulated_machines.h
@@ -21,9 +21,9 @@
   /// Returns the worker of a machine, or null if the machine is deleted, dead or still booting.
   SimulatedWorker* running_worker(const std::string& machine) { return cloud_.running_worker(machine); }
   /// Returns the names of the machines that are up in a zone, or in all zones if `zone` is empty.
-  std::vector<std::string> up(const std::string& zone = "") const;
+  std::vector<std::string> machines_up(const std::string& zone = "") const;
   /// Returns the name of a random machine that is up, or an empty string if there is none.
-  std::string random();
+  std::string random_machine();
   /// Returns the names of up to `count` machines that are up, in descending order of their active tasks.
   std::vector<std::string> busiest(int count) const;
 
