--- a/tests/scheduled_faults_test.cpp
+++ b/tests/scheduled_faults_test.cpp
@@ -167,7 +167,7 @@
          .kind = store_and_peers_unreachable,
          .duration = seconds(20),
          .controller = kBusiestController}},
-       {Evidence::team_at_limit, Evidence::cancelled_during_cut},
+       {Evidence::team_at_limit, Evidence::cancelled_during_partition},
        with_tight_limits},
       {"LeaderReachesOnlyItsWorkers",
        {{.at = seconds(40),
@@ -181,7 +181,7 @@
          .kind = store_and_peers_unreachable,
          .duration = seconds(6),
          .controller = kBusiestController}},
-       {Evidence::cancelled_during_cut, Evidence::shard_acquired}},
+       {Evidence::cancelled_during_partition, Evidence::shard_acquired}},
       // The workers of a paused controller used to wait for it until their leases expired, and its peers
       // redirected workers to it.
       {"BusiestControllerPauses",
--- a/tests/sim/evidence.cpp
+++ b/tests/sim/evidence.cpp
@@ -22,7 +22,7 @@
       return "heartbeat lost";
     case Evidence::team_at_limit:
       return "team at its limit";
-    case Evidence::cancelled_during_cut:
+    case Evidence::cancelled_during_partition:
       return "cancelled during a link cut";
     case Evidence::cancelled_during_store_refusal:
       return "cancelled while the store refused requests";
--- a/tests/sim/evidence.h
+++ b/tests/sim/evidence.h
@@ -19,7 +19,7 @@
   heartbeat_duplicated,
   heartbeat_lost,  ///< sent by a machine that cannot reach any controller
   team_at_limit,
-  cancelled_during_cut,            ///< while at least one link was cut
+  cancelled_during_partition,      ///< while at least one link was cut
   cancelled_during_store_refusal,  ///< while the key-value store refused the requests of a controller
   cancelled_together,              ///< one of several jobs cancelled within a fraction of a second
   machine_hung_at_cancellation,
--- a/tests/sim/fault_injector.cpp
+++ b/tests/sim/fault_injector.cpp
@@ -161,7 +161,8 @@
 
 void FaultInjector::cut_peers(const ControllerHost& host, const Injection& injection) {
   for (auto& other : controllers_.hosts())
-    if (other->name != host.name) network_.cut(host.name, other->name, injection.hold, injection.duration);
+    if (other->name != host.name)
+      network_.partition(host.name, other->name, injection.hold, injection.duration);
 }
 
 void FaultInjector::cut_from_peers(const Injection& injection) {
@@ -175,7 +176,7 @@
 // ---- the key-value store and the cloud ----------------------------------------------------------
 
 void FaultInjector::cut_from_store(const Injection& injection) {
-  network_.cut(injection.controller->name, kStoreAddress, injection.hold, injection.duration);
+  network_.partition(injection.controller->name, kStoreAddress, injection.hold, injection.duration);
 }
 
 void FaultInjector::cut_from_store_and_peers(const Injection& injection) {
@@ -185,7 +186,7 @@
 
 void FaultInjector::flap_store_links(const Injection& injection) {
   for (auto& host : controllers_.hosts())
-    network_.cut(host->name, kStoreAddress, injection.hold, duration_of(injection, 1, 5));
+    network_.partition(host->name, kStoreAddress, injection.hold, duration_of(injection, 1, 5));
 }
 
 void FaultInjector::stop_store(const Injection& injection) {
--- a/tests/sim/fault_injector_machines.cpp
+++ b/tests/sim/fault_injector_machines.cpp
@@ -18,7 +18,7 @@
 void FaultInjector::cut_workers(const ControllerHost& host, const std::string& zone,
                                 const Injection& injection) {
   for (const std::string& machine : machines_.machines_up(zone))
-    network_.cut(host.name, machine, injection.hold, injection.duration);
+    network_.partition(host.name, machine, injection.hold, injection.duration);
 }
 
 void FaultInjector::cut_from_workers(const Injection& injection) {
@@ -37,15 +37,15 @@
     }
     cut_workers(*host, "east", injection);
     cut_peers(*host, injection);
-    network_.cut(host->name, kStoreAddress, injection.hold, injection.duration);
-    network_.cut(host->name, kCloudAddress, injection.hold, injection.duration);
+    network_.partition(host->name, kStoreAddress, injection.hold, injection.duration);
+    network_.partition(host->name, kCloudAddress, injection.hold, injection.duration);
   }
 }
 
 void FaultInjector::partition_machines(const Injection& injection) {
   for (auto& host : controllers_.hosts())
     for (const std::string& machine : injection.machines)
-      network_.cut(host->name, machine, injection.hold, injection.duration);
+      network_.partition(host->name, machine, injection.hold, injection.duration);
 }
 
 void FaultInjector::make_unreachable_inbound(const Injection& injection) {
--- a/tests/sim/heartbeat_exchange.cpp
+++ b/tests/sim/heartbeat_exchange.cpp
@@ -37,7 +37,7 @@
 
 void HeartbeatExchange::send_copies(const std::string& body) {
   Simulation& simulation = environment_.simulation;
-  network_.duplicate_sometimes([this, body] { deliver_copy(body); });
+  network_.duplicate_randomly([this, body] { deliver_copy(body); });
   const bool copy_late = simulation.now() < environment_.faults.heartbeats_duplicated_until &&
                          simulation.random_fraction() < kLateCopyProbability;
   if (!copy_late) return;
--- a/tests/sim/simulated_controllers_actions.cpp
+++ b/tests/sim/simulated_controllers_actions.cpp
@@ -91,7 +91,7 @@
   if (environment_.faults.refused_hosts.contains(host)) return wire::parse_store_response(request, 503, "{}");
   const wire::HttpRequest http = wire::request_of(request);
   if (environment_.scenario.has_extended_faults)
-    network_.duplicate_sometimes(
+    network_.duplicate_randomly(
         [this, http] { environment_.store.handle(http, environment_.simulation.now()); });
   const Response response = environment_.store.handle(http, environment_.simulation.now());
   return wire::parse_store_response(request, response.status, response.body);
@@ -128,7 +128,7 @@
 CommandResponse SimulatedControllers::serve_commands(const std::string& machine, const std::string& body) {
   SimulatedWorker* worker = machines_.running_worker(machine);
   if (worker == nullptr || worker->unreachable_inbound) return {};
-  network_.duplicate_sometimes([this, machine, body] {
+  network_.duplicate_randomly([this, machine, body] {
     if (SimulatedWorker* current = machines_.running_worker(machine))
       current->handle_commands(body, environment_.simulation.now());
   });
--- a/tests/sim/simulated_network.cpp
+++ b/tests/sim/simulated_network.cpp
@@ -12,26 +12,27 @@
 
 }  // namespace
 
-void SimulatedNetwork::cut(const std::string& one, const std::string& other, bool hold, Micros duration) {
+void SimulatedNetwork::partition(const std::string& one, const std::string& other, bool hold,
+                                 Micros duration) {
   const Link link = std::minmax(one, other);
-  if (!cuts_.try_emplace(link, Cut{hold, {}}).second) return;
-  environment_.simulation.schedule_after(duration, [this, link] { end_cut(link); });
+  if (!partitions_.try_emplace(link, Partition{hold, {}}).second) return;
+  environment_.simulation.schedule_after(duration, [this, link] { end_partition(link); });
 }
 
-void SimulatedNetwork::end_cut(const Link& link) {
-  Cut cut = std::move(cuts_.at(link));
-  cuts_.erase(link);
+void SimulatedNetwork::end_partition(const Link& link) {
+  Partition partition = std::move(partitions_.at(link));
+  partitions_.erase(link);
   Micros delay = millis(1);
-  for (Delivery& delivery : cut.held) {
+  for (Delivery& delivery : partition.held) {
     delay += millis(1);
     environment_.simulation.schedule_after(delay, std::move(delivery));
   }
 }
 
 void SimulatedNetwork::send(const std::string& from, const std::string& to, Delivery delivery) {
-  if (const auto cut = cuts_.find(std::minmax(from, to)); cut != cuts_.end()) {
-    if (!cut->second.hold) return;
-    cut->second.held.push_back(std::move(delivery));
+  if (const auto partition = partitions_.find(std::minmax(from, to)); partition != partitions_.end()) {
+    if (!partition->second.hold) return;
+    partition->second.held.push_back(std::move(delivery));
     environment_.evidence.add(Evidence::message_held);
     return;
   }
@@ -55,7 +56,7 @@
                                          [this, to, delivery] { deliver_when_responsive(to, delivery); });
 }
 
-void SimulatedNetwork::duplicate_sometimes(Delivery delivery) {
+void SimulatedNetwork::duplicate_randomly(Delivery delivery) {
   Simulation& simulation = environment_.simulation;
   if (!environment_.scenario.inject_faults || simulation.random_fraction() > kDuplicateProbability) return;
   simulation.schedule_after(seconds(0.5 + simulation.random_fraction() * 40), std::move(delivery));
--- a/tests/sim/simulated_network.h
+++ b/tests/sim/simulated_network.h
@@ -27,28 +27,28 @@
   void send_to_host(const std::string& from, const std::string& to, Delivery delivery);
   /// With a small probability, delivers a message a second time, 0.5 to 40.5 s later, whether or not its
   /// sender and recipient are still up. Delivers nothing in scenarios without faults.
-  void duplicate_sometimes(Delivery delivery);
+  void duplicate_randomly(Delivery delivery);
 
   /// Partitions two hosts from each other in both directions, unless they are partitioned already. If `hold`
   /// is true, messages sent during the partition are delivered when it ends; otherwise they are lost.
-  void cut(const std::string& one, const std::string& other, bool hold, Micros duration);
+  void partition(const std::string& one, const std::string& other, bool hold, Micros duration);
   /// Returns whether any two hosts are partitioned from each other.
-  bool has_cuts() const { return !cuts_.empty(); }
+  bool has_partitions() const { return !partitions_.empty(); }
 
  private:
-  struct Cut {
+  struct Partition {
     bool hold = false;
     std::vector<Delivery> held;  ///< in the order in which the messages were sent
   };
   using Link = std::pair<std::string, std::string>;
 
-  void end_cut(const Link& link);
+  void end_partition(const Link& link);
   /// Delivers a message, waiting until the recipient does not hang.
   void deliver_when_responsive(const std::string& to, const Delivery& delivery);
 
   Environment& environment_;
   SimulatedMachines& machines_;
-  std::map<Link, Cut> cuts_;
+  std::map<Link, Partition> partitions_;
 };
 
 }  // namespace bendtide::sim
--- a/tests/sim/simulated_users.cpp
+++ b/tests/sim/simulated_users.cpp
@@ -141,7 +141,7 @@
 void SimulatedUsers::on_cancelled(User& user, const UserReply& reply) {
   if (!environment_.faults.refused_hosts.empty())
     environment_.evidence.add(Evidence::cancelled_during_store_refusal);
-  if (network_.has_cuts()) environment_.evidence.add(Evidence::cancelled_during_cut);
+  if (network_.has_partitions()) environment_.evidence.add(Evidence::cancelled_during_partition);
   user.last_phase = reply.phase;
   user.answered_final = true;
   if (environment_.scenario.impatient_users) poll_everywhere(user);
