--- a/tests/sim/fault_injector.cpp
+++ b/tests/sim/fault_injector.cpp
@@ -233,7 +233,7 @@
       environment_.evidence.add(Evidence::machine_hung_at_cancellation);
     hang(machines, injection.duration);
   }
-  users_.cancel_running(injection.count);
+  users_.cancel_running_jobs(injection.count);
 }
 
 void FaultInjector::race_job_ends(const Injection& injection) {
--- a/tests/sim/neglect_check.cpp
+++ b/tests/sim/neglect_check.cpp
@@ -5,7 +5,7 @@
 void NeglectCheck::run_periodically() {
   environment_.simulation.schedule_after(seconds(1), [this] { run_periodically(); });
   if (!environment_.checker.is_settled()) return;
-  for (const auto& user : users_.all())
+  for (const auto& user : users_.users())
     environment_.checker.set_runnable(user->job.id, is_runnable(*user), environment_.simulation.now());
 }
 
--- a/tests/sim/simulated_users.cpp
+++ b/tests/sim/simulated_users.cpp
@@ -106,7 +106,7 @@
          else
            on_poll_answered(user, *reply, sent_at);
          const Micros pause =
-             user.answered_final ? seconds(25 + simulation.random_fraction() * 30) : kPollInterval;
+             user.final_reply_received ? seconds(25 + simulation.random_fraction() * 30) : kPollInterval;
          simulation.schedule_after(pause, [this, &user] { poll(user); });
        });
 }
@@ -116,7 +116,7 @@
   environment_.checker.reply_received(user.job.id, seen.status, seen.phase, sent_at,
                                       environment_.simulation.now());
   user.last_phase = seen.phase;
-  user.answered_final |= is_final(seen.phase);
+  user.final_reply_received |= is_final(seen.phase);
 }
 
 // ---- cancellations ------------------------------------------------------------------------------
@@ -143,15 +143,15 @@
     environment_.evidence.add(Evidence::cancelled_during_store_refusal);
   if (network_.has_partitions()) environment_.evidence.add(Evidence::cancelled_during_partition);
   user.last_phase = reply.phase;
-  user.answered_final = true;
+  user.final_reply_received = true;
   if (environment_.scenario.impatient_users) poll_everywhere(user);
 }
 
-void SimulatedUsers::cancel_running(int count) {
+void SimulatedUsers::cancel_running_jobs(int count) {
   Simulation& simulation = environment_.simulation;
   for (auto& user : users_) {
     if (count <= 0) return;
-    const bool chosen = user->accepted && !user->answered_final && !user->cancelling &&
+    const bool chosen = user->accepted && !user->final_reply_received && !user->cancelling &&
                         environment_.checker.is_running(user->job.id);
     if (!chosen) continue;
     --count;
@@ -165,7 +165,7 @@
   Simulation& simulation = environment_.simulation;
   if (simulation.now() >= environment_.faults.job_ends_raced_until) return;
   for (auto& user : users_) {
-    const bool chosen = user->accepted && !user->acted_on_job_end && !user->answered_final &&
+    const bool chosen = user->accepted && !user->acted_on_job_end && !user->final_reply_received &&
                         environment_.checker.completed_task_count(user->job.id) >= user->job.tasks;
     if (!chosen) continue;
     user->acted_on_job_end = true;
@@ -243,7 +243,7 @@
       unfinished.push_back(id + " was not accepted");
     else if (service_should_run && !environment_.checker.is_running(id))
       unfinished.push_back(id + " is not running");
-    else if (!service_should_run && !user->answered_final)
+    else if (!service_should_run && !user->final_reply_received)
       unfinished.push_back(id + " has not finished");
   }
   return unfinished;
--- a/tests/sim/simulated_users.h
+++ b/tests/sim/simulated_users.h
@@ -19,7 +19,7 @@
   std::optional<Micros> cancel_at;     ///< not set: no cancellation is planned
   bool accepted = false;               ///< a submission was confirmed
   bool cancelling = false;             ///< a cancellation was requested
-  bool answered_final = false;         ///< a reply said that the job is done or cancelled
+  bool final_reply_received = false;   ///< a reply said that the job is done or cancelled
   bool acted_on_job_end = false;       ///< the user has acted when the last task ended
   bool acted_on_acceptance = false;    ///< the user has acted on the acceptance of the job
   std::optional<JobPhase> last_phase;  ///< the phase in the latest reply to a poll or a cancellation
@@ -38,13 +38,13 @@
   /// itself again.
   void send_unusual_requests();
   /// Makes the users of up to `count` running jobs cancel them within 200 ms.
-  void cancel_running(int count);
+  void cancel_running_jobs(int count);
   /// While FaultKind::race_job_ends is in effect: when all tasks of a job have completed, its user resubmits
   /// the job and, with a probability of one half, cancels it unless it is being cancelled already. Both
   /// requests are sent within 700 ms.
   void race_job_ends();
 
-  const std::vector<std::unique_ptr<User>>& all() const { return users_; }
+  const std::vector<std::unique_ptr<User>>& users() const { return users_; }
   /// Returns a description of each job that has not reached its expected state by the end of the run:
   /// accepted, running if it is a service that nobody cancelled, and finished otherwise.
   std::vector<std::string> unfinished_jobs() const;
