--- a/tests/sim/fault_injector_machines.cpp
+++ b/tests/sim/fault_injector_machines.cpp
@@ -17,8 +17,8 @@
 
 void FaultInjector::cut_workers(const ControllerHost& host, const std::string& zone,
                                 const Injection& injection) {
-  for (const std::string& machine : machines_.up(zone))
-    network_.cut(host.name, machine, injection.hold, injection.duration);
+  for (const std::string& machine : machines_.machines_up(zone))
+    network_.partition(host.name, machine, injection.hold, injection.duration);
 }
 
 void FaultInjector::cut_from_workers(const Injection& injection) {
@@ -37,29 +37,29 @@
     }
     cut_workers(*host, "east", injection);
     cut_peers(*host, injection);
-    network_.cut(host->name, kStoreAddress, injection.hold, injection.duration);
-    network_.cut(host->name, kCloudAddress, injection.hold, injection.duration);
+    network_.partition(host->name, kStoreAddress, injection.hold, injection.duration);
+    network_.partition(host->name, kCloudAddress, injection.hold, injection.duration);
   }
 }
 
 void FaultInjector::partition_machines(const Injection& injection) {
   for (auto& host : controllers_.hosts())
     for (const std::string& machine : injection.machines)
-      network_.cut(host->name, machine, injection.hold, injection.duration);
+      network_.partition(host->name, machine, injection.hold, injection.duration);
 }
 
 void FaultInjector::make_unreachable_inbound(const Injection& injection) {
   set_worker_flag(injection.machines, &SimulatedWorker::unreachable_inbound, true);
   // If the fault was drawn at random, the machines stay unreachable until all faults end.
   if (!injection.scheduled) return;
-  environment_.simulation.after(injection.duration, [this, machines = injection.machines] {
+  environment_.simulation.schedule_after(injection.duration, [this, machines = injection.machines] {
     set_worker_flag(machines, &SimulatedWorker::unreachable_inbound, false);
   });
 }
 
 void FaultInjector::make_unreachable_outbound(const Injection& injection) {
   set_worker_flag(injection.machines, &SimulatedWorker::unreachable_outbound, true);
-  environment_.simulation.after(injection.duration, [this, machines = injection.machines] {
+  environment_.simulation.schedule_after(injection.duration, [this, machines = injection.machines] {
     set_worker_flag(machines, &SimulatedWorker::unreachable_outbound, false);
   });
 }
@@ -83,7 +83,7 @@
 
 void FaultInjector::hang(const std::vector<std::string>& machines, Micros duration) {
   set_worker_flag(machines, &SimulatedWorker::hanging, true);
-  environment_.simulation.after(
+  environment_.simulation.schedule_after(
       duration, [this, machines] { set_worker_flag(machines, &SimulatedWorker::hanging, false); });
 }
 
--- a/tests/sim/heartbeat_exchange.cpp
+++ b/tests/sim/heartbeat_exchange.cpp
@@ -20,31 +20,32 @@
   Simulation& simulation = environment_.simulation;
   SimulatedWorker& worker = *machine.worker;
   const auto& hosts = controllers_.hosts();
-  if (worker.target.empty()) worker.target = hosts[worker.next_controller++ % hosts.size()]->name;
-  const std::string target = worker.target;
+  if (worker.target_controller.empty())
+    worker.target_controller = hosts[worker.next_controller++ % hosts.size()]->name;
+  const std::string target = worker.target_controller;
   const std::string body = worker.begin_heartbeat(simulation.now());
   const Heartbeat heartbeat{machine.name, worker.heartbeat_number(), body};
   send_copies(body);
   if (worker.unreachable_outbound) {
     environment_.evidence.add(Evidence::heartbeat_lost);
-    return simulation.after(kNoRouteErrorDelay, [this, heartbeat] { fail(heartbeat); });
+    return simulation.schedule_after(kNoRouteErrorDelay, [this, heartbeat] { fail(heartbeat); });
   }
-  simulation.after(kReplyTimeout, [this, heartbeat] { fail(heartbeat); });
+  simulation.schedule_after(kReplyTimeout, [this, heartbeat] { fail(heartbeat); });
   if (ControllerHost* host = controllers_.find(target))
     network_.send(machine.name, target, [this, host, heartbeat] { receive(*host, heartbeat); });
 }
 
 void HeartbeatExchange::send_copies(const std::string& body) {
   Simulation& simulation = environment_.simulation;
-  network_.duplicate_sometimes([this, body] { deliver_copy(body); });
+  network_.duplicate_randomly([this, body] { deliver_copy(body); });
   const bool copy_late = simulation.now() < environment_.faults.heartbeats_duplicated_until &&
-                         simulation.chance() < kLateCopyProbability;
+                         simulation.random_fraction() < kLateCopyProbability;
   if (!copy_late) return;
   environment_.evidence.add(Evidence::heartbeat_duplicated);
   const auto lease = static_cast<double>(environment_.settings.worker_lease.count());
   const Micros extra_delay{
-      static_cast<std::int64_t>(lease * kMaxExtraCopyDelayInLeases * simulation.chance())};
-  simulation.after(kMinCopyDelay + extra_delay, [this, body] { deliver_copy(body); });
+      static_cast<std::int64_t>(lease * kMaxExtraCopyDelayInLeases * simulation.random_fraction())};
+  simulation.schedule_after(kMinCopyDelay + extra_delay, [this, body] { deliver_copy(body); });
 }
 
 void HeartbeatExchange::deliver_copy(const std::string& body) {
@@ -62,9 +63,9 @@
                                 const HeartbeatReply& reply) {
   const PlantedDefects& defects = environment_.defects;
   HeartbeatReply sent = reply;
-  sent.commands = defects.delivered(std::move(sent.commands));
+  sent.commands = defects.commands_to_deliver(std::move(sent.commands));
   for (Command& command : defects.added(reply.commands)) sent.commands.push_back(std::move(command));
-  controllers_.record_starts(sent.commands);
+  controllers_.report_starts_to_checker(sent.commands);
   defects.start_elsewhere(reply, heartbeat.machine, machines_.cloud(), environment_.simulation.now());
   network_.send(host.name, heartbeat.machine,
                 [this, heartbeat, status = sent.status, body = wire::body_of(sent)] {
@@ -75,17 +76,17 @@
 void HeartbeatExchange::deliver_reply(const Heartbeat& heartbeat, int status, const std::string& body) {
   SimulatedWorker* worker = awaiting_worker(heartbeat);
   if (worker != nullptr && !worker->unreachable_inbound)
-    worker->heartbeat_answered(status, body, environment_.simulation.now());
+    worker->on_heartbeat_response(status, body, environment_.simulation.now());
 }
 
 void HeartbeatExchange::fail(const Heartbeat& heartbeat) {
   if (SimulatedWorker* worker = awaiting_worker(heartbeat))
-    worker->heartbeat_failed(environment_.simulation.now());
+    worker->on_heartbeat_failure(environment_.simulation.now());
 }
 
 SimulatedWorker* HeartbeatExchange::awaiting_worker(const Heartbeat& heartbeat) {
   SimulatedWorker* worker = machines_.running_worker(heartbeat.machine);
-  const bool awaits = worker != nullptr && worker->awaits_answer() &&
+  const bool awaits = worker != nullptr && worker->heartbeat_in_flight() &&
                       worker->heartbeat_number() == heartbeat.number && !worker->hanging;
   return awaits ? worker : nullptr;
 }
--- a/tests/sim/simulated_machines.cpp
+++ b/tests/sim/simulated_machines.cpp
@@ -30,10 +30,11 @@
 
 void SimulatedMachines::boot(const SimulatedCloud::Machine& machine) {
   Simulation& simulation = environment_.simulation;
-  double boot_seconds = 2 + simulation.chance() * 8;
+  double boot_seconds = 2 + simulation.random_fraction() * 8;
   if (simulation.now() < environment_.faults.machines_boot_late_until)
-    boot_seconds *= simulation.chance() < kNeverBootsProbability ? kNeverBootsFactor : kLateBootFactor;
-  simulation.after(seconds(boot_seconds), [this, name = machine.name] { start_worker(name); });
+    boot_seconds *=
+        simulation.random_fraction() < kNeverBootsProbability ? kNeverBootsFactor : kLateBootFactor;
+  simulation.schedule_after(seconds(boot_seconds), [this, name = machine.name] { start_worker(name); });
 }
 
 void SimulatedMachines::start_worker(const std::string& name) {
@@ -61,16 +62,16 @@
   return Micros{estimate * (8 + task.index % 5) / 10};
 }
 
-std::vector<std::string> SimulatedMachines::up(const std::string& zone) const {
+std::vector<std::string> SimulatedMachines::machines_up(const std::string& zone) const {
   std::vector<std::string> names;
   for (const auto& [name, machine] : cloud_.machines())
     if (machine.is_up() && (zone.empty() || machine.zone == zone)) names.push_back(name);
   return names;
 }
 
-std::string SimulatedMachines::random() {
-  const std::vector<std::string> names = up();
-  return names.empty() ? "" : environment_.simulation.pick_from(names);
+std::string SimulatedMachines::random_machine() {
+  const std::vector<std::string> names = machines_up();
+  return names.empty() ? "" : environment_.simulation.random_element(names);
 }
 
 std::vector<std::string> SimulatedMachines::busiest(int count) const {
--- a/tests/sim/simulated_users.cpp
+++ b/tests/sim/simulated_users.cpp
@@ -19,8 +19,8 @@
 
 void SimulatedUsers::start() {
   for (auto& user : users_)
-    environment_.simulation.at(user->submit_at, [this, user = user.get()] {
-      environment_.checker.submitted(user->job);
+    environment_.simulation.schedule_at(user->submit_at, [this, user = user.get()] {
+      environment_.checker.job_submitted(user->job);
       submit(*user, environment_.simulation.now());
     });
 }
@@ -51,19 +51,19 @@
          if (reply != nullptr && (reply->status == 200 || reply->status == 201))
            on_accepted(user, *reply, sent_at);
          else if (simulation.now() - since < kMaxResubmissionTime)
-           simulation.after(kRetryDelay, [this, &user, since] { submit(user, since); });
+           simulation.schedule_after(kRetryDelay, [this, &user, since] { submit(user, since); });
        });
 }
 
 void SimulatedUsers::on_accepted(User& user, const UserReply& reply, Micros sent_at) {
   Simulation& simulation = environment_.simulation;
   const Micros now = simulation.now();
-  environment_.checker.accepted(user.job.id, now);
-  environment_.checker.answered(user.job.id, reply.status, reply.phase, sent_at, now);
+  environment_.checker.job_accepted(user.job.id, now);
+  environment_.checker.reply_received(user.job.id, reply.status, reply.phase, sent_at, now);
   user.accepted = true;
-  simulation.after(seconds(4 + simulation.chance()), [this, &user] { poll(user); });
+  simulation.schedule_after(seconds(4 + simulation.random_fraction()), [this, &user] { poll(user); });
   if (environment_.scenario.impatient_users) act_on_acceptance(user);
-  if (user.cancel_at) simulation.at(std::max(now, *user.cancel_at), [this, &user] { cancel(user); });
+  if (user.cancel_at) simulation.schedule_at(std::max(now, *user.cancel_at), [this, &user] { cancel(user); });
 }
 
 void SimulatedUsers::act_on_acceptance(User& user) {
@@ -71,11 +71,12 @@
   Simulation& simulation = environment_.simulation;
   environment_.evidence.add(Evidence::job_polled_at_acceptance);
   poll_everywhere(user);
-  simulation.after(millis(simulation.pick(kMaxAcceptanceActionDelayMillis)),
-                   [this, &user] { submit(user, environment_.simulation.now()); });
-  if (simulation.chance() < 0.5) return;
+  simulation.schedule_after(millis(simulation.random_index(kMaxAcceptanceActionDelayMillis)),
+                            [this, &user] { submit(user, environment_.simulation.now()); });
+  if (simulation.random_fraction() < 0.5) return;
   environment_.evidence.add(Evidence::job_cancelled_at_acceptance);
-  simulation.after(millis(simulation.pick(kMaxAcceptanceActionDelayMillis)), [this, &user] { cancel(user); });
+  simulation.schedule_after(millis(simulation.random_index(kMaxAcceptanceActionDelayMillis)),
+                            [this, &user] { cancel(user); });
 }
 
 // ---- polls --------------------------------------------------------------------------------------
@@ -87,8 +88,8 @@
         *host, [id = user.job.id](Controller& core, std::uint64_t request) { core.on_poll(request, id); },
         [this, &user, sent_at](const UserReply* reply) {
           if (reply != nullptr && reply->status != 503)
-            environment_.checker.answered(user.job.id, reply->status, reply->phase, sent_at,
-                                          environment_.simulation.now());
+            environment_.checker.reply_received(user.job.id, reply->status, reply->phase, sent_at,
+                                                environment_.simulation.now());
         });
   }
 }
@@ -101,59 +102,62 @@
          const bool ignored =
              environment_.defects.ignores_polls_for_one_job() && &user == users_.front().get();
          if (reply == nullptr || reply->status == 503 || ignored)
-           environment_.checker.unanswered(user.job.id, simulation.now());
+           environment_.checker.poll_unanswered(user.job.id, simulation.now());
          else
            on_poll_answered(user, *reply, sent_at);
-         const Micros pause = user.answered_final ? seconds(25 + simulation.chance() * 30) : kPollInterval;
-         simulation.after(pause, [this, &user] { poll(user); });
+         const Micros pause =
+             user.final_reply_received ? seconds(25 + simulation.random_fraction() * 30) : kPollInterval;
+         simulation.schedule_after(pause, [this, &user] { poll(user); });
        });
 }
 
 void SimulatedUsers::on_poll_answered(User& user, const UserReply& reply, Micros sent_at) {
   const UserReply seen = environment_.defects.poll_reply(reply, user.last_phase);
-  environment_.checker.answered(user.job.id, seen.status, seen.phase, sent_at, environment_.simulation.now());
+  environment_.checker.reply_received(user.job.id, seen.status, seen.phase, sent_at,
+                                      environment_.simulation.now());
   user.last_phase = seen.phase;
-  user.answered_final |= is_final(seen.phase);
+  user.final_reply_received |= is_final(seen.phase);
 }
 
 // ---- cancellations ------------------------------------------------------------------------------
 
 void SimulatedUsers::cancel(User& user) {
   user.cancelling = true;
-  environment_.checker.cancel_requested(user.job.id);
+  environment_.checker.cancellation_requested(user.job.id);
   const Micros sent_at = environment_.simulation.now();
   send([id = user.job.id](Controller& core, std::uint64_t request) { core.on_cancel(request, id); },
        [this, &user, sent_at](const UserReply* reply) {
          Simulation& simulation = environment_.simulation;
          if (reply != nullptr)
-           environment_.checker.answered(user.job.id, reply->status, reply->phase, sent_at, simulation.now());
+           environment_.checker.reply_received(user.job.id, reply->status, reply->phase, sent_at,
+                                               simulation.now());
          if (reply != nullptr && reply->status == 200)
            on_cancelled(user, *reply);
          else
-           simulation.after(kRetryDelay, [this, &user] { cancel(user); });
+           simulation.schedule_after(kRetryDelay, [this, &user] { cancel(user); });
        });
 }
 
 void SimulatedUsers::on_cancelled(User& user, const UserReply& reply) {
   if (!environment_.faults.refused_hosts.empty())
     environment_.evidence.add(Evidence::cancelled_during_store_refusal);
-  if (network_.has_cuts()) environment_.evidence.add(Evidence::cancelled_during_cut);
+  if (network_.has_partitions()) environment_.evidence.add(Evidence::cancelled_during_partition);
   user.last_phase = reply.phase;
-  user.answered_final = true;
+  user.final_reply_received = true;
   if (environment_.scenario.impatient_users) poll_everywhere(user);
 }
 
-void SimulatedUsers::cancel_running(int count) {
+void SimulatedUsers::cancel_running_jobs(int count) {
   Simulation& simulation = environment_.simulation;
   for (auto& user : users_) {
     if (count <= 0) return;
-    const bool chosen = user->accepted && !user->answered_final && !user->cancelling &&
+    const bool chosen = user->accepted && !user->final_reply_received && !user->cancelling &&
                         environment_.checker.is_running(user->job.id);
     if (!chosen) continue;
     --count;
     environment_.evidence.add(Evidence::cancelled_together);
-    simulation.after(millis(simulation.pick(kMaxJointCancellationDelayMillis)),
-                     [this, user = user.get()] { cancel(*user); });
+    simulation.schedule_after(millis(simulation.random_index(kMaxJointCancellationDelayMillis)),
+                              [this, user = user.get()] { cancel(*user); });
   }
 }
 
@@ -161,16 +165,18 @@
   Simulation& simulation = environment_.simulation;
   if (simulation.now() >= environment_.faults.job_ends_raced_until) return;
   for (auto& user : users_) {
-    const bool chosen = user->accepted && !user->acted_on_job_end && !user->answered_final &&
-                        environment_.checker.completed_tasks(user->job.id) >= user->job.tasks;
+    const bool chosen = user->accepted && !user->acted_on_job_end && !user->final_reply_received &&
+                        environment_.checker.completed_task_count(user->job.id) >= user->job.tasks;
     if (!chosen) continue;
     user->acted_on_job_end = true;
     environment_.evidence.add(Evidence::job_end_raced);
-    simulation.after(millis(simulation.pick(kMaxRaceActionDelayMillis)), [this, user = user.get()] {
-      if (!user->cancelling && environment_.simulation.chance() < 0.5) cancel(*user);
-    });
-    simulation.after(millis(simulation.pick(kMaxRaceActionDelayMillis)),
-                     [this, user = user.get()] { submit(*user, environment_.simulation.now()); });
+    simulation.schedule_after(millis(simulation.random_index(kMaxRaceActionDelayMillis)),
+                              [this, user = user.get()] {
+                                if (!user->cancelling && environment_.simulation.random_fraction() < 0.5)
+                                  cancel(*user);
+                              });
+    simulation.schedule_after(millis(simulation.random_index(kMaxRaceActionDelayMillis)),
+                              [this, user = user.get()] { submit(*user, environment_.simulation.now()); });
   }
 }
 
@@ -178,8 +184,8 @@
 
 void SimulatedUsers::send_unusual_requests() {
   poll_unknown_job();
-  environment_.simulation.after(kUnusualRequestInterval, [this] { send_unusual_requests(); });
-  if (!environment_.scenario.invalid_requests) return;
+  environment_.simulation.schedule_after(kUnusualRequestInterval, [this] { send_unusual_requests(); });
+  if (!environment_.scenario.users_submit_invalid_jobs) return;
   resubmit_malformed();
   submit_invalid();
 }
@@ -189,12 +195,12 @@
        [this](const UserReply* reply) {
          const Micros now = environment_.simulation.now();
          const int status = reply == nullptr ? 503 : environment_.defects.unknown_job_status(reply->status);
-         environment_.checker.answered(kUnknownJob, status, JobPhase::pending, now, now);
+         environment_.checker.reply_received(kUnknownJob, status, JobPhase::pending, now, now);
        });
 }
 
 void SimulatedUsers::resubmit_malformed() {
-  User& user = *environment_.simulation.pick_from(users_);
+  User& user = *environment_.simulation.random_element(users_);
   if (!user.accepted) return;
   const Micros sent_at = environment_.simulation.now();
   send(
@@ -203,31 +209,31 @@
       },
       [this, &user, sent_at](const UserReply* reply) {
         if (reply != nullptr)
-          environment_.checker.answered(user.job.id, reply->status, reply->phase, sent_at,
-                                        environment_.simulation.now());
+          environment_.checker.reply_received(user.job.id, reply->status, reply->phase, sent_at,
+                                              environment_.simulation.now());
       });
 }
 
 void SimulatedUsers::submit_invalid() {
   JobSpec job = users_.front()->job;
   job.id = kInvalidJob;
-  if (environment_.simulation.chance() < 0.5)
+  if (environment_.simulation.random_fraction() < 0.5)
     job.team = "nobody";
   else
     job.types = {"nothing"};
-  environment_.checker.submitted_invalid(job.id);
+  environment_.checker.invalid_job_submitted(job.id);
   send([job](Controller& core, std::uint64_t request) { core.on_submit(request, job); },
        [this](const UserReply* reply) {
          if (reply == nullptr) return;
          const Micros now = environment_.simulation.now();
          const int status = environment_.defects.invalid_submission_status(reply->status);
-         environment_.checker.answered(kInvalidJob, status, JobPhase::pending, now, now);
+         environment_.checker.reply_received(kInvalidJob, status, JobPhase::pending, now, now);
        });
 }
 
 // ---- end of the run ------------------------------------------------------------------------------
 
-std::vector<std::string> SimulatedUsers::unfinished() const {
+std::vector<std::string> SimulatedUsers::unfinished_jobs() const {
   std::vector<std::string> unfinished;
   for (const auto& user : users_) {
     const std::string& id = user->job.id;
@@ -237,7 +243,7 @@
       unfinished.push_back(id + " was not accepted");
     else if (service_should_run && !environment_.checker.is_running(id))
       unfinished.push_back(id + " is not running");
-    else if (!service_should_run && !user->answered_final)
+    else if (!service_should_run && !user->final_reply_received)
       unfinished.push_back(id + " has not finished");
   }
   return unfinished;
--- a/tests/simulated_cluster_test.cpp
+++ b/tests/simulated_cluster_test.cpp
@@ -23,10 +23,10 @@
   SimulatedCluster cluster(scenario);
   cluster.run();
   EXPECT_EQ(cluster.checker().summary(), "");
-  EXPECT_EQ(cluster.unfinished(), std::vector<std::string>{});
-  EXPECT_EQ(cluster.store().too_large(), 0u);
-  EXPECT_EQ(cluster.inconsistent_sums(), 0u);
-  EXPECT_EQ(cluster.seen(Evidence::error_logged), 0u);
+  EXPECT_EQ(cluster.unfinished_jobs(), std::vector<std::string>{});
+  EXPECT_EQ(cluster.store().oversized_requests(), 0u);
+  EXPECT_EQ(cluster.inconsistent_sum_count(), 0u);
+  EXPECT_EQ(cluster.evidence_count(Evidence::error_logged), 0u);
 }
 
 class RandomFaults : public testing::TestWithParam<std::uint64_t> {};
@@ -46,7 +46,7 @@
 TEST_P(RegressionScenario, RulesHoldAndAllJobsFinish) {
   FaultScenario scenario;
   scenario.seed = GetParam();
-  scenario.extended = false;
+  scenario.has_extended_faults = false;
   expect_rules_kept(scenario);
 }
 
@@ -98,7 +98,7 @@
   cluster.run();
   EXPECT_EQ(cluster.checker().summary(), "");
   // Eight tasks fit on a machine at once: allows for those of two jobs, and of a third one placed meanwhile.
-  EXPECT_LE(cluster.most_failures_on_a_machine(), 24u);
+  EXPECT_LE(cluster.max_failures_on_a_machine(), 24u);
 }
 
 // The first forty jobs of a queue used to call for proposals repeatedly, and no machine was provisioned for
@@ -132,8 +132,8 @@
   SimulatedCluster cluster(scenario);
   cluster.run();
   EXPECT_EQ(cluster.checker().summary(), "");
-  EXPECT_EQ(cluster.unfinished(), std::vector<std::string>{});
-  EXPECT_EQ(cluster.store().too_large(), 0u);
+  EXPECT_EQ(cluster.unfinished_jobs(), std::vector<std::string>{});
+  EXPECT_EQ(cluster.store().oversized_requests(), 0u);
 }
 
 // A machine that is unreachable inbound is never silent long enough to be replaced for its silence, because
@@ -146,13 +146,13 @@
   scenario.seed = GetParam();
   scenario.kinds = {FaultKind::machine_unreachable_inbound};
   scenario.slow_heartbeats = true;
-  scenario.unreachable_for_good = true;
+  scenario.machines_stay_unreachable = true;
   scenario.verbose = verbose();
   SimulatedCluster cluster(scenario);
   cluster.run();
   EXPECT_EQ(cluster.checker().summary(), "");
-  EXPECT_EQ(cluster.unfinished(), std::vector<std::string>{});
-  EXPECT_EQ(cluster.unreachable_machines(), 0u);
+  EXPECT_EQ(cluster.unfinished_jobs(), std::vector<std::string>{});
+  EXPECT_EQ(cluster.unreachable_machine_count(), 0u);
 }
 
 INSTANTIATE_TEST_SUITE_P(Seeds, UnreachableMachines, testing::Range<std::uint64_t>(1, 10));
@@ -166,9 +166,9 @@
   SimulatedCluster cluster(scenario);
   cluster.run();
   EXPECT_EQ(cluster.checker().summary(), "");
-  EXPECT_EQ(cluster.unfinished(), std::vector<std::string>{});
-  EXPECT_EQ(cluster.store().refused(), 0u);
-  EXPECT_GT(cluster.awards(), 0u);
+  EXPECT_EQ(cluster.unfinished_jobs(), std::vector<std::string>{});
+  EXPECT_EQ(cluster.store().rate_limited_requests(), 0u);
+  EXPECT_GT(cluster.award_count(), 0u);
 }
 
 struct PlantedDefectCase {
@@ -184,7 +184,7 @@
   scenario.end = seconds(200);
   scenario.jobs = 60;
   scenario.planted_defect = GetParam().planted_defect;
-  scenario.invalid_requests = scenario.planted_defect == PlantedDefect::accept_unfit;
+  scenario.users_submit_invalid_jobs = scenario.planted_defect == PlantedDefect::accept_unfit;
   SimulatedCluster cluster(scenario);
   cluster.run();
   EXPECT_TRUE(cluster.checker().violations().contains(GetParam().rule)) << cluster.checker().summary();
