--- a/tests/decision_digest_main.cpp
+++ b/tests/decision_digest_main.cpp
@@ -36,7 +36,7 @@
       {"tight limits",
        [](FaultScenario& scenario) {
          scenario.tight_limits = true;
-         scenario.invalid_requests = true;
+         scenario.users_submit_invalid_jobs = true;
        }},
       {"zone-bound long tasks",
        [](FaultScenario& scenario) {
@@ -61,7 +61,8 @@
 
 void execute(ScenarioRun& run) {
   SimulatedCluster cluster(run.scenario);
-  cluster.observe([&run](const std::string& host, const Action& action) { run.digest.add(host, action); });
+  cluster.set_action_observer(
+      [&run](const std::string& host, const Action& action) { run.digest.add(host, action); });
   cluster.run();
 }
 
--- a/tests/late_answer_test.cpp
+++ b/tests/late_answer_test.cpp
@@ -20,15 +20,15 @@
   ASSERT_EQ(t.calls.size(), 1u);
   t.cancel();
   ASSERT_EQ(t.calls.size(), 2u) << "expected a read of the live record";
-  t.answer(1, live_record());
+  t.respond(1, live_record());
   ASSERT_EQ(t.calls.size(), 3u) << "expected the write of the final state";
-  t.answer(2, written(21));
+  t.respond(2, write_response(21));
   ASSERT_EQ(t.replies.size(), 1u);
   EXPECT_EQ(t.replies[0].phase, JobPhase::cancelled);
   t.tick();
   ASSERT_FALSE(t.shard.jobs.contains(kTask.job));
 
-  t.answer(0, written(20));
+  t.respond(0, write_response(20));
   EXPECT_FALSE(t.shard.jobs.contains(kTask.job));
   ASSERT_EQ(t.replies.size(), 2u);
   EXPECT_EQ(t.replies[1].status, 200);
@@ -63,9 +63,9 @@
   t.collect([&] { t.jobs.on_invalid_submission(1, kTask.job, "malformed repetition"); });
   StoreResponse absent;
   absent.outcome = Outcome::absent;
-  t.answer(0, absent);
-  t.answer(1, found(records::final_job_key(kTask.job),
-                    records::to_json(records::FinalJob{JobPhase::cancelled, 1}), 15));
+  t.respond(0, absent);
+  t.respond(1, read_response(records::final_job_key(kTask.job),
+                             records::to_json(records::FinalJob{JobPhase::cancelled, 1}), 15));
   ASSERT_EQ(t.replies.size(), 1u);
   EXPECT_EQ(t.replies[0].phase, JobPhase::cancelled);
   EXPECT_TRUE(job.ended);
@@ -78,7 +78,7 @@
   t.cancel();
   ASSERT_EQ(t.calls.size(), 1u);
   t.shard.acquired_at = t.context.now + millis(1);
-  t.answer(0, live_record());
+  t.respond(0, live_record());
   EXPECT_FALSE(t.shard.jobs.contains(kTask.job));
   ASSERT_EQ(t.replies.size(), 1u);
   EXPECT_EQ(t.replies[0].status, 503);
@@ -105,18 +105,18 @@
   Job& job = t.add_job();
   t.cancel();
   ASSERT_EQ(t.calls.size(), 1u);
-  const std::vector<Compare>& compares = t.commit(0).compares;
+  const std::vector<Compare>& compares = t.transaction_of(0).compares;
   EXPECT_TRUE(std::any_of(compares.begin(), compares.end(), [](const Compare& c) {
     return c.key == records::final_job_key(kTask.job) && c.revision == 0;
   }));
   StoreResponse refused;
   refused.outcome = Outcome::conflict;
   refused.failed = {records::final_job_key(kTask.job)};
-  t.answer(0, refused);
+  t.respond(0, refused);
   ASSERT_EQ(t.calls.size(), 2u) << "expected a read of the stored final state";
   EXPECT_TRUE(job.finalizing);
-  t.answer(1, found(records::final_job_key(kTask.job), records::to_json(records::FinalJob{JobPhase::done, 1}),
-                    15));
+  t.respond(1, read_response(records::final_job_key(kTask.job),
+                             records::to_json(records::FinalJob{JobPhase::done, 1}), 15));
   ASSERT_EQ(t.replies.size(), 1u);
   EXPECT_EQ(t.replies[0].phase, JobPhase::done);
   EXPECT_EQ(t.context.invariants.total(), 1u) << "the refused write had a different final state";
@@ -128,7 +128,7 @@
   JobsFixture t;
   t.add_job();
   t.cancel();
-  t.answer(0, {});
+  t.respond(0, {});
   ASSERT_EQ(t.replies.size(), 1u);
   EXPECT_EQ(t.replies[0].status, 503);
   ASSERT_EQ(t.context.timers.size(), 1u);
@@ -136,9 +136,9 @@
   StoreResponse refused;
   refused.outcome = Outcome::conflict;
   refused.failed = {records::final_job_key(kTask.job)};
-  t.answer(1, refused);
-  t.answer(2, found(records::final_job_key(kTask.job),
-                    records::to_json(records::FinalJob{JobPhase::cancelled, 1}), 15));
+  t.respond(1, refused);
+  t.respond(2, read_response(records::final_job_key(kTask.job),
+                             records::to_json(records::FinalJob{JobPhase::cancelled, 1}), 15));
   EXPECT_EQ(t.context.invariants.total(), 0u);
   t.cancel();
   EXPECT_EQ(t.replies.back().phase, JobPhase::cancelled);
@@ -151,7 +151,7 @@
        {"final write in flight", "ended", "known to have ended", "awarded, and the award is stale"}) {
     JobsFixture t;
     Job& job = t.add_job();
-    t.at<LogLine>(100.5, [&] { t.fleet.on_heartbeat(1, t.heartbeat(10, 1, 4, false)); });
+    t.call_at<LogLine>(100.5, [&] { t.fleet.on_heartbeat(1, t.heartbeat(10, 1, 4, false)); });
     t.shard.add_placement(t.machine(), {kTask, 7}, &job);
     job.leave_waiting(0, {Task::State::placed, &t.machine(), 7});
     const std::string state = what;
@@ -163,13 +163,13 @@
     }
     if (state == "known to have ended") t.state.final_states.record_final(kTask.job, {}, t.context.now);
     const auto answers =
-        t.at<AnswerHeartbeat>(102, [&] { t.fleet.on_heartbeat(2, t.heartbeat(10, 1, 5, false)); });
+        t.call_at<AnswerHeartbeat>(102, [&] { t.fleet.on_heartbeat(2, t.heartbeat(10, 1, 5, false)); });
     ASSERT_EQ(answers.size(), 1u);
     EXPECT_TRUE(answers[0].reply.commands.empty()) << what;
     t.machine().push_in_flight = false;
     t.machine().acknowledgements.count_lost_push();  // evidence of a lost message makes the leader push
     t.shard.request_push(t.machine());
-    const auto calls = t.at<WorkerCall>(102.1, [&] { t.fleet.push_commands(t.shard); });
+    const auto calls = t.call_at<WorkerCall>(102.1, [&] { t.fleet.push_commands(t.shard); });
     ASSERT_EQ(calls.size(), 1u);
     EXPECT_TRUE(calls[0].request.commands.empty()) << what;
     EXPECT_EQ(t.context.invariants.total(), state == "known to have ended" ? 1u : 0u);
@@ -192,7 +192,7 @@
   scenario.jobs = 300;
   scenario.end = seconds(420);
   scenario.impatient_users = true;
-  scenario.invalid_requests = true;
+  scenario.users_submit_invalid_jobs = true;
   scenario.verbose = std::getenv("SIMULATION_VERBOSE") != nullptr;
   scenario.faults = {{.at = seconds(5), .kind = late_store_responses, .duration = seconds(140)},
                      {.at = seconds(15), .kind = store_unreachable, .duration = seconds(25), .controller = 0},
@@ -215,13 +215,13 @@
     SimulatedCluster cluster(impatient_users_scenario(seed));
     cluster.run();
     EXPECT_EQ(cluster.checker().summary(), "") << "seed " << seed;
-    EXPECT_EQ(cluster.unfinished(), std::vector<std::string>{}) << "seed " << seed;
-    EXPECT_EQ(cluster.inconsistent_sums(), 0u) << "seed " << seed;
-    EXPECT_EQ(cluster.seen(Evidence::error_logged), 0u) << "seed " << seed;
+    EXPECT_EQ(cluster.unfinished_jobs(), std::vector<std::string>{}) << "seed " << seed;
+    EXPECT_EQ(cluster.inconsistent_sum_count(), 0u) << "seed " << seed;
+    EXPECT_EQ(cluster.evidence_count(Evidence::error_logged), 0u) << "seed " << seed;
     EXPECT_EQ(cluster.checker().starts_after_cancel(), 0u) << "seed " << seed;
     for (const Evidence evidence :
          {Evidence::store_response_delayed, Evidence::job_cancelled_at_acceptance, Evidence::shard_acquired})
-      EXPECT_GT(cluster.seen(evidence), 0u) << evidence << ", seed " << seed;
+      EXPECT_GT(cluster.evidence_count(evidence), 0u) << evidence << ", seed " << seed;
     failed_seeds += cluster.checker().summary().empty() ? 0 : 1;
   }
   RecordProperty("seeds_with_violations", static_cast<int>(failed_seeds));
--- a/tests/sim/simulated_cluster.cpp
+++ b/tests/sim/simulated_cluster.cpp
@@ -34,13 +34,14 @@
   const FaultScenario& scenario = environment_.scenario;
   controllers_.start_all();
   users_.start();
-  simulation.after(kMachineUpdateInterval, [this] { advance_machines(); });
-  simulation.after(kUnusualRequestsStart, [this] { users_.send_unusual_requests(); });
-  if (scenario.operators_poll) simulation.after(kAdminRequestInterval, [this] { send_admin_requests(); });
-  simulation.after(kNeglectCheckStart, [this] { neglect_check_.repeat(); });
+  simulation.schedule_after(kMachineUpdateInterval, [this] { advance_machines(); });
+  simulation.schedule_after(kUnusualRequestsStart, [this] { users_.send_unusual_requests(); });
+  if (scenario.operators_poll)
+    simulation.schedule_after(kAdminRequestInterval, [this] { send_admin_requests(); });
+  simulation.schedule_after(kNeglectCheckStart, [this] { neglect_check_.run_periodically(); });
   fault_injector_.start();
   simulation.run_until(scenario.end);
-  environment_.checker.finish();
+  environment_.checker.check_at_end();
   if (scenario.verbose) print_states();
 }
 
@@ -49,13 +50,13 @@
   for (auto& [name, machine] : machines_.cloud().machines()) {
     if (!machine.is_up()) continue;
     machine.worker->advance(now);
-    max_failures_on_a_machine_ = std::max(max_failures_on_a_machine_, machine.worker->failures);
+    max_failures_on_a_machine_ = std::max(max_failures_on_a_machine_, machine.worker->failed_tasks);
     if (machine.worker->heartbeat_due(now)) heartbeats_.send(machine);
   }
   environment_.checker.check_cancelled_jobs(now);
   count_teams_at_limit();
   users_.race_job_ends();
-  environment_.simulation.after(kMachineUpdateInterval, [this] { advance_machines(); });
+  environment_.simulation.schedule_after(kMachineUpdateInterval, [this] { advance_machines(); });
 }
 
 void SimulatedCluster::count_teams_at_limit() {
@@ -69,7 +70,7 @@
   for (auto& host : controllers_.hosts())
     for (const Kind page : {Kind::policy, Kind::shards, Kind::machines, Kind::jobs, Kind::negotiations})
       controllers_.deliver_admin_request(*host, {page, {}});
-  environment_.simulation.after(kAdminRequestInterval, [this] { send_admin_requests(); });
+  environment_.simulation.schedule_after(kAdminRequestInterval, [this] { send_admin_requests(); });
 }
 
 void SimulatedCluster::print_states() const {
@@ -91,7 +92,7 @@
   return ids;
 }
 
-std::size_t SimulatedCluster::unreachable_machines() const {
+std::size_t SimulatedCluster::unreachable_machine_count() const {
   const auto& machines = machines_.cloud().machines();
   return static_cast<std::size_t>(std::count_if(machines.begin(), machines.end(), [](const auto& entry) {
     return entry.second.is_up() && entry.second.worker->unreachable_inbound;
--- a/tests/sim/simulated_controllers.cpp
+++ b/tests/sim/simulated_controllers.cpp
@@ -24,9 +24,9 @@
   for (int i = 0; i < kCount; ++i) {
     auto host = std::make_unique<ControllerHost>();
     host->name = "node-" + std::to_string(i);
-    host->clock_drift = (simulation.chance() - 0.5) * kClockDriftRange;
-    host->clock_offset = seconds(simulation.chance() * kClockOffsetRangeSeconds);
-    if (environment_.scenario.extended && i == 2) host->zone = "west";
+    host->clock_drift = (simulation.random_fraction() - 0.5) * kClockDriftRange;
+    host->clock_offset = seconds(simulation.random_fraction() * kClockOffsetRangeSeconds);
+    if (environment_.scenario.has_extended_faults && i == 2) host->zone = "west";
     hosts_.push_back(std::move(host));
   }
 }
@@ -36,8 +36,8 @@
 void SimulatedControllers::start_all() {
   Simulation& simulation = environment_.simulation;
   for (auto& host : hosts_) {
-    const Micros delay = millis(simulation.pick(static_cast<int>(kMaxStartDelay / millis(1))));
-    simulation.after(delay, [this, host = host.get()] { start(*host); });
+    const Micros delay = millis(simulation.random_index(static_cast<int>(kMaxStartDelay / millis(1))));
+    simulation.schedule_after(delay, [this, host = host.get()] { start(*host); });
   }
 }
 
@@ -59,10 +59,10 @@
   awards_by_ended_processes_ += host.core->contract_net().counters().awards;
   host.core.reset();
   host.paused_until = Micros{0};
-  host.pauses_for = Micros{0};
+  host.next_pause = Micros{0};
   host.user_requests.clear();
   host.heartbeats.clear();
-  environment_.simulation.after(restart_after, [this, &host] { start(host); });
+  environment_.simulation.schedule_after(restart_after, [this, &host] { start(host); });
 }
 
 void SimulatedControllers::tick(ControllerHost& host, std::uint64_t incarnation) {
@@ -70,21 +70,23 @@
   deliver(host, incarnation, [](Controller& core) { core.tick(); });
   if (host.is_up() && host.incarnation == incarnation)
     for (const auto& [name, shard] : host.core->state().shards)
-      if (!shard.sums_are_consistent()) ++inconsistent_sums_;
-  environment_.simulation.after(kTickInterval, [this, &host, incarnation] { tick(host, incarnation); });
+      if (!shard.sums_are_consistent()) ++inconsistent_sum_count_;
+  environment_.simulation.schedule_after(kTickInterval,
+                                         [this, &host, incarnation] { tick(host, incarnation); });
 }
 
 void SimulatedControllers::deliver(ControllerHost& host, std::uint64_t incarnation, const Event& event) {
   if (!host.is_up() || host.incarnation != incarnation) return;
   Simulation& simulation = environment_.simulation;
   if (simulation.now() < host.paused_until)
-    return simulation.at(host.paused_until,
-                         [this, &host, incarnation, event] { deliver(host, incarnation, event); });
+    return simulation.schedule_at(host.paused_until,
+                                  [this, &host, incarnation, event] { deliver(host, incarnation, event); });
   host.core->set_clocks(steady_time(host), simulation.now() + kWallClockOffset);
   event(*host.core);
-  if (host.pauses_for == Micros{0}) return perform_actions(host, incarnation);
-  host.paused_until = simulation.now() + std::exchange(host.pauses_for, Micros{0});
-  simulation.at(host.paused_until, [this, &host, incarnation] { perform_actions(host, incarnation); });
+  if (host.next_pause == Micros{0}) return perform_actions(host, incarnation);
+  host.paused_until = simulation.now() + std::exchange(host.next_pause, Micros{0});
+  simulation.schedule_at(host.paused_until,
+                         [this, &host, incarnation] { perform_actions(host, incarnation); });
 }
 
 void SimulatedControllers::perform_actions(ControllerHost& host, std::uint64_t incarnation) {
@@ -111,7 +113,7 @@
   };
   const std::uint64_t number = host.next_request++;
   host.user_requests[number] = [complete](const UserReply& reply) { complete(&reply); };
-  environment_.simulation.after(kUserTimeout, [complete] { complete(nullptr); });
+  environment_.simulation.schedule_after(kUserTimeout, [complete] { complete(nullptr); });
   deliver(host, host.incarnation, [request, number](Controller& core) { request(core, number); });
 }
 
@@ -137,7 +139,7 @@
   return nullptr;
 }
 
-ControllerHost& SimulatedControllers::busiest() {
+ControllerHost& SimulatedControllers::host_with_most_machines() {
   auto machines = [](const std::unique_ptr<ControllerHost>& host) {
     std::size_t count = 0;
     if (host->is_up())
@@ -149,14 +151,14 @@
   });
 }
 
-std::uint64_t SimulatedControllers::awards() const {
+std::uint64_t SimulatedControllers::award_count() const {
   std::uint64_t awards = awards_by_ended_processes_;
   for (const auto& host : hosts_)
     if (host->is_up()) awards += host->core->contract_net().counters().awards;
   return awards;
 }
 
-void SimulatedControllers::record_starts(const std::vector<Command>& commands) {
+void SimulatedControllers::report_starts_to_checker(const std::vector<Command>& commands) {
   const Micros now = environment_.simulation.now();
   for (const Command& command : commands) {
     if (command.kind != Command::Kind::start) continue;
--- a/tests/sim/simulated_controllers.h
+++ b/tests/sim/simulated_controllers.h
@@ -25,7 +25,7 @@
   Micros paused_until{0};            ///< no event is delivered and no action performed before this time
   /// The process pauses for this long between handling the next event and performing its actions. Zero: it
   /// does not pause.
-  Micros pauses_for{0};
+  Micros next_pause{0};
   std::uint64_t next_request = 1;
   // Requests that the current process has not answered yet, by request number.
   std::map<std::uint64_t, std::function<void(const UserReply&)>> user_requests;
@@ -50,7 +50,7 @@
 
   SimulatedControllers(Environment& environment, SimulatedMachines& machines, SimulatedNetwork& network);
 
-  void observe(ActionObserver observer) { observer_ = std::move(observer); }
+  void set_action_observer(ActionObserver observer) { observer_ = std::move(observer); }
   /// Schedules the first start of each controller at a random time within the first second.
   void start_all();
   /// Crashes the process and restarts it after `restart_after`. Does nothing if the process is down.
@@ -58,11 +58,11 @@
 
   std::vector<std::unique_ptr<ControllerHost>>& hosts() { return hosts_; }
   const std::vector<std::unique_ptr<ControllerHost>>& hosts() const { return hosts_; }
-  ControllerHost& random_host() { return *environment_.simulation.pick_from(hosts_); }
+  ControllerHost& random_host() { return *environment_.simulation.random_element(hosts_); }
   /// Returns null if there is no host with that name.
   ControllerHost* find(const std::string& host);
   /// Returns the host whose controller leads the most machines.
-  ControllerHost& busiest();
+  ControllerHost& host_with_most_machines();
 
   /// Sends a user's request to a controller; `reaction` receives the reply or null.
   void send_user_request(ControllerHost& host, const UserRequest& request, const UserReaction& reaction);
@@ -71,11 +71,11 @@
   void deliver_admin_request(ControllerHost& host, const AdminRequest& request);
 
   /// Reports the start commands among `commands` to the checker, which detects starts of cancelled jobs.
-  void record_starts(const std::vector<Command>& commands);
+  void report_starts_to_checker(const std::vector<Command>& commands);
   /// Returns the number of proposals that were awarded.
-  std::uint64_t awards() const;
+  std::uint64_t award_count() const;
   /// Returns how often the incrementally updated sums of a shard differed from freshly computed ones.
-  std::size_t inconsistent_sums() const { return inconsistent_sums_; }
+  std::size_t inconsistent_sum_count() const { return inconsistent_sum_count_; }
 
  private:
   /// A request from a controller to another host. It completes once, with the response or at the timeout.
@@ -133,7 +133,7 @@
   std::vector<std::unique_ptr<ControllerHost>> hosts_;
   std::uint64_t started_processes_ = 0;          ///< number of processes started so far
   std::uint64_t awards_by_ended_processes_ = 0;  ///< awards made by processes that have ended
-  std::size_t inconsistent_sums_ = 0;
+  std::size_t inconsistent_sum_count_ = 0;
 };
 
 }  // namespace bendtide::sim
